--- a/packages/policy/src/crashes/chooseSuspectPlace.ts
+++ b/packages/policy/src/crashes/chooseSuspectPlace.ts
@@ -1,18 +1,20 @@
 /**
- * Where a request goes under which an upstream ended. Requests lost together would go on together, to
- * whichever upstream has least to do, and all be blamed alike for what one of them does there. So each
- * goes its own way, by a hash of what it asks; and all attempts of the same request, at whatever
- * daemon, go the same way, so that one that does end upstreams takes one at a time with it.
+ * Chooses the upstream for a request that was running when an upstream crashed. Requests lost in
+ * the same crash would otherwise all move to the least loaded upstream and be blamed together for
+ * what one of them does there. Instead, each request is routed by the hash of its digest. All
+ * attempts of the same request, from any daemon, go to the same upstream, so that a request that
+ * does crash upstreams crashes one at a time.
  *
- * In virtual time, one deadly request, 9 daemons and 6 upstreams, 20 seeds: 5.6 innocent ones held back of
- * 1,499 in the mean without it and 0.4 with it, 4.0 upstreams ended and 3.0; three of them, 195 daemons and
- * 52 upstreams: 54.0 held back of 12,518 and 1.4. Sending them one at a time beside it gained little where
- * one was deadly, and each lost request waited 0.7 s for its turn.
+ * Simulated with 20 seeds, 9 daemons, 6 upstreams and one crashing request: on average 5.6 of 1,499
+ * harmless requests were held without this rule and 0.4 with it, and 4.0 upstreams crashed against
+ * 3.0. With three crashing requests, 195 daemons and 52 upstreams: 54.0 of 12,518 requests were
+ * held against 1.4. Additionally sending the suspects one at a time gained little with one crashing
+ * request, and delayed each lost request by 0.7 s.
  */
 import type { RequestDigest } from '@snipehaven/common';
 import { getAffinityWeight, hashAffinityKey } from '../upstreamChoice/affinity/affinityHash.js';
 
-/** Undefined when there is no candidate. `ids`: lives of upstreams. */
+/** `ids` are the ids of upstream instances. Undefined when there is no candidate. */
 export const chooseSuspectPlace = (
   digest: RequestDigest,
   ids: readonly string[],
--- a/packages/policy/src/crashes/crashLedger.test.ts
+++ b/packages/policy/src/crashes/crashLedger.test.ts
@@ -1,9 +1,9 @@
-/** How blame for ended upstreams is counted, told apart and forgotten. */
+/** Counting, attribution and expiry of upstream crashes by request. */
 import { asId, type RequestDigest } from '@snipehaven/common';
 import fc from 'fast-check';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { CrashLedger, FORGET_AFTER_MS, judgeSuspicion } from './index.js';
+import { CrashLedger, CRASH_EXPIRY_MS, judgeSuspicion } from './index.js';
 import type { EndReport, Suspicion } from './types.js';
 
 const test = suite('crash ledger');
@@ -11,7 +11,7 @@
 const A = asId<RequestDigest>('a');
 const B = asId<RequestDigest>('b');
 
-/** Each end under another attempt, unless one is named. */
+/** Each crash belongs to a different attempt unless one is given. */
 const reportEnd = (
   lifeId: string,
   digests: readonly RequestDigest[],
@@ -22,38 +22,39 @@
   suspects: digests.map((digest) => ({ digest, attemptId, suspicion })),
 });
 
-test('the third end under a request reaches the bound, whichever daemon tells it', () => {
+test('the third crash under a request reaches the threshold, whichever daemon reports it', () => {
   const ledger = new CrashLedger();
   assert.equal(ledger.note(reportEnd('u-1', [A, B]), 0), []);
   assert.equal(ledger.note(reportEnd('u-2', [A]), 10), []);
-  assert.equal(ledger.note(reportEnd('u-2', [A]), 11), [], 'told by another daemon');
+  assert.equal(ledger.note(reportEnd('u-2', [A]), 11), [], 'reported by another daemon');
   assert.equal(ledger.note(reportEnd('u-3', [A, B]), 20), [A]);
   assert.equal(ledger.listLives(A), ['u-1', 'u-2', 'u-3']);
   assert.is(ledger.getWeight(B), 2);
 });
 
-// Symptom: ordinary requests are refused while a service is well again. Sequence: upstreams end by chance,
-// one after the other; a request loses all three that its route allows, and its caller comes again. Cause:
-// one attempt alone took three ends.
-test('one attempt alone takes a fourth end', () => {
+// Guards against refusing ordinary requests of a service that has recovered. This happens when
+// upstreams crash independently of the request one after the other: a request loses all three
+// attempts that its route allows and its caller retries. Hence a single attempt needs a fourth
+// crash.
+test('a single attempt needs a fourth crash', () => {
   const ledger = new CrashLedger();
-  const report = (life: string) => reportEnd(life, [A], 'strong', 'the only attempt');
+  const report = (instanceId: string) => reportEnd(instanceId, [A], 'strong', 'the only attempt');
   assert.equal(
-    ['u-1', 'u-2', 'u-3'].map((life) => ledger.note(report(life), 0).length),
+    ['u-1', 'u-2', 'u-3'].map((instanceId) => ledger.note(report(instanceId), 0).length),
     [0, 0, 0],
   );
   assert.not(ledger.isGuilty(A));
   assert.equal(ledger.note(report('u-4'), 0), [A]);
   const again = new CrashLedger();
-  ['u-1', 'u-2', 'u-3'].forEach((life) => again.note(report(life), 0));
+  ['u-1', 'u-2', 'u-3'].forEach((instanceId) => again.note(report(instanceId), 0));
   again.note(reportEnd('u-3', [A], 'strong', 'another attempt'), 0);
-  assert.ok(again.isGuilty(A), 'a second attempt was at the third end too');
+  assert.ok(again.isGuilty(A), 'a second attempt was involved in the third crash too');
 });
 
 test('the order and number of reports do not matter', () => {
-  const reports = ['u-1', 'u-2', 'u-3', 'u-4'].flatMap((life) => [
-    reportEnd(life, [A, B]),
-    reportEnd(life, [A], 'weak'),
+  const reports = ['u-1', 'u-2', 'u-3', 'u-4'].flatMap((instanceId) => [
+    reportEnd(instanceId, [A, B]),
+    reportEnd(instanceId, [A], 'weak'),
   ]);
   const expected = new CrashLedger();
   reports.forEach((report) => expected.note(report, 0));
@@ -71,18 +72,20 @@
   );
 });
 
-test('a request that has been answered for long, or whose upstream was leaving, is blamed half', () => {
+test('a crash counts half for a request with a long-running answer or an upstream that was leaving', () => {
   assert.is(judgeSuspicion({ answeredForMs: undefined, isEndExpected: false }), 'strong');
   assert.is(judgeSuspicion({ answeredForMs: 200, isEndExpected: false }), 'strong');
   assert.is(judgeSuspicion({ answeredForMs: 1_500, isEndExpected: false }), 'weak');
   assert.is(judgeSuspicion({ answeredForMs: undefined, isEndExpected: true }), 'weak');
   const ledger = new CrashLedger();
-  const lives = ['u-1', 'u-2', 'u-3', 'u-4', 'u-5', 'u-6'];
-  const reached = lives.map((life) => ledger.note(reportEnd(life, [A], 'weak'), 0).length);
+  const instanceIds = ['u-1', 'u-2', 'u-3', 'u-4', 'u-5', 'u-6'];
+  const reached = instanceIds.map(
+    (instanceId) => ledger.note(reportEnd(instanceId, [A], 'weak'), 0).length,
+  );
   assert.equal(reached, [0, 0, 0, 0, 0, 1]);
 });
 
-test('a whole answer clears a request, and an upstream that lives takes its end back', () => {
+test('a complete answer clears a request, and a crash is withdrawn when the upstream turns out alive', () => {
   const ledger = new CrashLedger();
   ledger.note(reportEnd('u-1', [A, B]), 0);
   ledger.note(reportEnd('u-2', [B]), 0);
@@ -94,9 +97,10 @@
   assert.is(ledger.size, 0);
 });
 
-// Symptom: a request is held back though it was just answered. Sequence: an end is told twice; between the
-// two the request is answered elsewhere. Cause: the second telling counts as another end.
-test('an end that is told again after the answer counts no more', () => {
+// Guards against holding a request that was just answered. This happens when a crash is reported
+// twice, the request is answered elsewhere between the two reports, and the second report counts as
+// another crash.
+test('a crash that is reported again after the answer does not count', () => {
   const ledger = new CrashLedger();
   ledger.note(reportEnd('u-1', [A]), 0);
   ledger.clear(A);
@@ -107,19 +111,19 @@
   assert.is(ledger.getWeight(A), 1);
 });
 
-test('ends are forgotten after a while', () => {
+test('crashes expire', () => {
   const ledger = new CrashLedger();
   ledger.note(reportEnd('u-1', [A]), 0);
-  ledger.note(reportEnd('u-2', [A]), FORGET_AFTER_MS);
+  ledger.note(reportEnd('u-2', [A]), CRASH_EXPIRY_MS);
   assert.is(ledger.getWeight(A), 2);
-  ledger.note(reportEnd('u-3', [B]), FORGET_AFTER_MS + 1);
+  ledger.note(reportEnd('u-3', [B]), CRASH_EXPIRY_MS + 1);
   assert.equal(ledger.listLives(A), ['u-2']);
 });
 
-// Symptom: a request that ends upstreams is never held back while an upstream flaps under load. Sequence:
-// thousands of requests are lost once each; the ledger is full and drops the oldest. Cause: the oldest is
-// the one that comes again and again.
-test('a flood of requests that saw one end each pushes out no worse one', () => {
+// Guards against never holding a request that crashes upstreams while other crashes happen under
+// load. This happens when thousands of requests are lost once each, the tracked requests reach
+// their maximum, and the oldest ones are evicted: among them the request that keeps coming back.
+test('many requests with one crash each do not evict a request with more crashes', () => {
   const ledger = new CrashLedger();
   ledger.note(reportEnd('u-1', [A]), 0);
   ledger.note(reportEnd('u-2', [A]), 0);
--- a/packages/policy/src/crashes/crashLedger.ts
+++ b/packages/policy/src/crashes/crashLedger.ts
@@ -1,177 +1,193 @@
 /**
- * How many upstreams ended under each request, whatever attempt and daemon brought it there. A request
- * that ends whoever runs it would otherwise be a new one each time it comes: each attempt ended up to three
- * engines, and its caller ended two dozen in ten seconds.
+ * Counts the upstreams that crashed under each request, across attempts and daemons. Without it, a
+ * request that crashes every upstream would count as new each time: each attempt crashed up to
+ * three engines, and its caller crashed two dozen within ten seconds.
  *
- * Ends are sets, not sums: the same end told twice, or by two daemons, counts once, in any order.
+ * Crashes are kept as sets, not as sums: the same crash reported twice, or by two daemons, counts
+ * once, in any order.
  */
 import { forgetOldest, type RequestDigest } from '@snipehaven/common';
 import type { EndReport, Suspicion } from './types.js';
 
 /**
- * Three ends: one may be chance, and an upstream that takes a second one with it may be bad luck with what
- * else ran there. With two, each crash of a rack under a busy service would hold requests back.
+ * One crash can be a coincidence, and so can a second one, caused by another request that ran at
+ * the same upstream. With a threshold of two, each crash of a rack under a busy service would hold
+ * requests.
  */
-export const HOLD_WEIGHT = 3;
+export const HOLD_THRESHOLD = 3;
 
 /**
- * One attempt alone takes a fourth end: where upstreams end by chance, one after the other, a request may
- * lose all three that its route allows, and its caller's next attempt would be refused though it is served.
+ * Threshold while all crashes belong to a single attempt. When upstreams crash independently of the
+ * request one after the other, a request may lose all three upstreams that its route allows, and
+ * its caller's next attempt would be refused although it could be served.
  */
-export const LONE_ATTEMPT_WEIGHT = 4;
+export const SINGLE_ATTEMPT_HOLD_THRESHOLD = 4;
 
 const weights: Readonly<Record<Suspicion, number>> = { strong: 1, weak: 0.5 };
 
 /**
- * How long a request is held back. Callers that repeat one go on for minutes at the most, and each release
- * may cost as many upstreams as it took to hold it; a request that is held wrongly must not be so for ever.
- * An operator may release it sooner.
+ * How long a request is held. Callers retry for a few minutes at most, and each release may cost as
+ * many upstreams as it took to hold the request; a request that is held by mistake must be released
+ * eventually. An operator may release it earlier.
  */
 export const HOLD_MS = 600_000;
 
-/** An end says nothing any more when this old; callers come back within minutes. */
-export const FORGET_AFTER_MS = 600_000;
+/** Crashes older than this do not count, because callers retry within minutes. */
+export const CRASH_EXPIRY_MS = 600_000;
 
 /**
- * Requests remembered. An engine ends with some hundred at the most, and nearly all of them are cleared by
- * their next answer; at 22 bytes and a few lives each it stays below 1 MB.
+ * Maximum number of tracked requests. An engine crashes with about a hundred requests at most, and
+ * nearly all of them are cleared by their next answer. At 22 bytes and a few instance ids each,
+ * this stays below 1 MB.
  */
-const MAX_SUSPECTS = 2_048;
+const MAX_TRACKED_REQUESTS = 2_048;
 
-interface NotedEnd {
+interface RecordedCrash {
   readonly weight: number;
   readonly attemptIds: ReadonlySet<string>;
   readonly atMs: number;
 }
 
-type Ends = Map<string, NotedEnd>;
+type CrashesByInstance = Map<string, RecordedCrash>;
 
-/** The same end, told by two daemons or of two attempts. */
-const joinEnds = (a: NotedEnd, b: NotedEnd): NotedEnd => ({
+/** Merges two reports of the same crash, from two daemons or of two attempts. */
+const joinCrashes = (a: RecordedCrash, b: RecordedCrash): RecordedCrash => ({
   weight: Math.max(a.weight, b.weight),
   attemptIds: new Set([...a.attemptIds, ...b.attemptIds]),
   atMs: Math.min(a.atMs, b.atMs),
 });
 
-const sumWeights = (ends: Ends): number =>
-  [...ends.values()].reduce((sum, { weight }) => sum + weight, 0);
+const sumWeights = (crashes: CrashesByInstance): number =>
+  [...crashes.values()].reduce((sum, { weight }) => sum + weight, 0);
 
 export class CrashLedger {
-  /** By request, then by the life that ended; those noted last come last. */
-  readonly #ends = new Map<RequestDigest, Ends>();
+  /** By request, then by the instance that crashed; the most recently recorded ones come last. */
+  readonly #crashes = new Map<RequestDigest, CrashesByInstance>();
 
   /**
-   * Lives whose end was cleared from a request, the last cleared last. News are told twice and passed on: one
-   * that comes after the answer must not blame the request again.
+   * Instances whose crashes were cleared from a request; the most recently cleared ones come last.
+   * Reports arrive more than once and are relayed. One that arrives after the answer must not count
+   * against the request again.
    */
-  readonly #settled = new Map<RequestDigest, ReadonlySet<string>>();
+  readonly #cleared = new Map<RequestDigest, ReadonlySet<string>>();
 
-  /** Requests remembered. */
+  /** Number of tracked requests. */
   get size(): number {
-    return this.#ends.size;
+    return this.#crashes.size;
   }
 
-  /** Those of the report whose weight now reaches the bound. */
+  /** Records the crash for each suspect and returns those that have now reached their threshold. */
   note({ lifeId, suspects }: EndReport, nowMs: number): readonly RequestDigest[] {
-    this.#forgetOld(nowMs);
+    this.#dropExpired(nowMs);
     for (const { digest, suspicion, attemptId } of suspects) {
       const attemptIds = new Set([attemptId]);
-      this.#noteOne(digest, lifeId, { weight: weights[suspicion], attemptIds, atMs: nowMs });
+      this.#recordCrash(digest, lifeId, { weight: weights[suspicion], attemptIds, atMs: nowMs });
     }
-    this.#dropLeastSuspect();
+    this.#evictLeastSuspect();
     return suspects.map(({ digest }) => digest).filter((digest) => this.isGuilty(digest));
   }
 
-  /** Whether so many upstreams ended under it that it must not be at another one. */
+  /**
+   * Whether so many upstreams crashed under the request that it must not be sent to another one.
+   */
   isGuilty(digest: RequestDigest): boolean {
-    const ends = [...(this.#ends.get(digest)?.values() ?? [])];
-    const attempts = new Set(ends.flatMap(({ attemptIds }) => [...attemptIds]));
-    const bound = attempts.size > 1 ? HOLD_WEIGHT : LONE_ATTEMPT_WEIGHT;
+    const crashes = [...(this.#crashes.get(digest)?.values() ?? [])];
+    const attempts = new Set(crashes.flatMap(({ attemptIds }) => [...attemptIds]));
+    const bound = attempts.size > 1 ? HOLD_THRESHOLD : SINGLE_ATTEMPT_HOLD_THRESHOLD;
     return this.getWeight(digest) >= bound;
   }
 
-  /** 0 for a request under which nothing ended. */
+  /** Total weight of the crashes under the request. */
   getWeight(digest: RequestDigest): number {
-    const ends = this.#ends.get(digest);
-    return ends === undefined ? 0 : sumWeights(ends);
+    const crashes = this.#crashes.get(digest);
+    return crashes === undefined ? 0 : sumWeights(crashes);
   }
 
-  /** The lives that ended under it. */
+  /** Ids of the instances that crashed under the request. */
   listLives(digest: RequestDigest): readonly string[] {
-    return [...(this.#ends.get(digest)?.keys() ?? [])];
+    return [...(this.#crashes.get(digest)?.keys() ?? [])];
   }
 
-  /** Whether this very end was noted, cleared since or not. */
+  /** Whether this crash was recorded for the request, even if it was cleared since. */
   hasNoted(digest: RequestDigest, lifeId: string): boolean {
     return (
-      this.#ends.get(digest)?.has(lifeId) === true ||
-      this.#settled.get(digest)?.has(lifeId) === true
+      this.#crashes.get(digest)?.has(lifeId) === true ||
+      this.#cleared.get(digest)?.has(lifeId) === true
     );
   }
 
-  /** The request was answered in whole: an upstream ran it and lives. False when nothing was known of it. */
+  /**
+   * Clears a request that was answered completely, because an upstream ran it and is still alive.
+   * Returns false if no crash was recorded for it.
+   */
   clear(digest: RequestDigest): boolean {
-    const ends = this.#ends.get(digest);
-    if (ends === undefined) {
+    const crashes = this.#crashes.get(digest);
+    if (crashes === undefined) {
       return false;
     }
-    this.#ends.delete(digest);
-    this.#settle(digest, ends);
+    this.#crashes.delete(digest);
+    this.#rememberCleared(digest, crashes);
     return true;
   }
 
-  /** The upstream lives after all, as behind a cut that has healed. */
+  /**
+   * Withdraws the crash of an upstream that turns out to be alive, for example after a network
+   * partition.
+   */
   withdraw(lifeId: string): void {
-    for (const [digest, ends] of this.#ends) {
-      ends.delete(lifeId);
-      if (ends.size === 0) {
-        this.#ends.delete(digest);
+    for (const [digest, crashes] of this.#crashes) {
+      crashes.delete(lifeId);
+      if (crashes.size === 0) {
+        this.#crashes.delete(digest);
       }
     }
   }
 
-  #settle(digest: RequestDigest, ends: Ends): void {
-    const lives = new Set([...(this.#settled.get(digest) ?? []), ...ends.keys()]);
-    this.#settled.delete(digest);
-    this.#settled.set(digest, lives);
-    forgetOldest(this.#settled, MAX_SUSPECTS);
+  #rememberCleared(digest: RequestDigest, crashes: CrashesByInstance): void {
+    const instanceIds = new Set([...(this.#cleared.get(digest) ?? []), ...crashes.keys()]);
+    this.#cleared.delete(digest);
+    this.#cleared.set(digest, instanceIds);
+    forgetOldest(this.#cleared, MAX_TRACKED_REQUESTS);
   }
 
-  #noteOne(digest: RequestDigest, lifeId: string, end: NotedEnd): void {
-    if (this.#settled.get(digest)?.has(lifeId)) {
+  #recordCrash(digest: RequestDigest, lifeId: string, crash: RecordedCrash): void {
+    if (this.#cleared.get(digest)?.has(lifeId)) {
       return;
     }
-    const ends = this.#ends.get(digest) ?? new Map<string, NotedEnd>();
-    const known = ends.get(lifeId);
-    ends.set(lifeId, known === undefined ? end : joinEnds(known, end));
-    this.#ends.delete(digest);
-    this.#ends.set(digest, ends);
+    const crashes = this.#crashes.get(digest) ?? new Map<string, RecordedCrash>();
+    const known = crashes.get(lifeId);
+    crashes.set(lifeId, known === undefined ? crash : joinCrashes(known, crash));
+    this.#crashes.delete(digest);
+    this.#crashes.set(digest, crashes);
   }
 
-  #forgetOld(nowMs: number): void {
-    for (const [digest, ends] of this.#ends) {
-      for (const [lifeId, { atMs }] of ends) {
-        if (nowMs - atMs > FORGET_AFTER_MS) {
-          ends.delete(lifeId);
+  #dropExpired(nowMs: number): void {
+    for (const [digest, crashes] of this.#crashes) {
+      for (const [lifeId, { atMs }] of crashes) {
+        if (nowMs - atMs > CRASH_EXPIRY_MS) {
+          crashes.delete(lifeId);
         }
       }
-      if (ends.size === 0) {
-        this.#ends.delete(digest);
+      if (crashes.size === 0) {
+        this.#crashes.delete(digest);
       }
     }
   }
 
-  /** A flood of requests that each saw one end must not push out one that saw more. */
-  #dropLeastSuspect(): void {
-    const surplus = this.#ends.size - MAX_SUSPECTS;
+  /**
+   * Evicts the requests with the least weight first, so that many requests with one crash each do
+   * not evict one with more crashes.
+   */
+  #evictLeastSuspect(): void {
+    const surplus = this.#crashes.size - MAX_TRACKED_REQUESTS;
     if (surplus <= 0) {
       return;
     }
-    const oldestFirst = [...this.#ends].map(([digest, ends]) => ({
+    const oldestFirst = [...this.#crashes].map(([digest, crashes]) => ({
       digest,
-      weight: sumWeights(ends),
+      weight: sumWeights(crashes),
     }));
     oldestFirst.sort((a, b) => a.weight - b.weight);
-    oldestFirst.slice(0, surplus).forEach(({ digest }) => this.#ends.delete(digest));
+    oldestFirst.slice(0, surplus).forEach(({ digest }) => this.#crashes.delete(digest));
   }
 }
--- a/packages/policy/src/crashes/judgeSuspicion.ts
+++ b/packages/policy/src/crashes/judgeSuspicion.ts
@@ -1,18 +1,19 @@
-/** Tells a request that may have ended its upstream from one that merely was there. */
+/** Distinguishes requests that may have crashed their upstream from those that merely ran there. */
 import type { Suspicion } from './types.js';
 
 /**
- * A request that ends upstreams does so as it begins to run: 30 to 150 ms after in a recorded incident. One
- * that has been answered for longer than this is more likely to be lost with the upstream than to blame.
+ * A request that crashes upstreams does so shortly after it starts: within 30 to 150 ms in a
+ * recorded incident. A request whose answer has been streaming for longer than this is more likely
+ * a victim of the crash than its cause.
  */
-export const PROVEN_MS = 1_000;
+export const LONG_ANSWER_MS = 1_000;
 
-export interface SuspectFacts {
-  /** How long its answer had been coming; absent where none had begun. */
+export interface SuspicionInput {
+  /** How long the answer had been streaming; undefined if it had not started. */
   readonly answeredForMs: number | undefined;
-  /** The upstream had said that it leaves, or was not listed any more. */
+  /** The upstream had announced that it was leaving, or was no longer listed. */
   readonly isEndExpected: boolean;
 }
 
-export const judgeSuspicion = ({ answeredForMs = 0, isEndExpected }: SuspectFacts): Suspicion =>
-  isEndExpected || answeredForMs > PROVEN_MS ? 'weak' : 'strong';
+export const judgeSuspicion = ({ answeredForMs = 0, isEndExpected }: SuspicionInput): Suspicion =>
+  isEndExpected || answeredForMs > LONG_ANSWER_MS ? 'weak' : 'strong';
--- a/packages/policy/src/crashes/suspectTuple.ts
+++ b/packages/policy/src/crashes/suspectTuple.ts
@@ -1,6 +1,6 @@
 /**
- * A suspect as daemons send it: the request, 1 where much speaks against it and 0 where little does, and the
- * caller's attempt.
+ * Wire format of a suspect: the request's digest, 1 for strong and 0 for weak suspicion, and the id
+ * of the caller's attempt.
  */
 import { asId, type RequestDigest } from '@snipehaven/common';
 import type { Suspect, Suspicion } from './types.js';
--- a/packages/policy/src/crashes/types.ts
+++ b/packages/policy/src/crashes/types.ts
@@ -1,20 +1,21 @@
-/** What daemons tell each other of upstreams that ended. */
+/** Types of the crash reports that daemons exchange. */
 import type { RequestDigest } from '@snipehaven/common';
 
 /**
- * How much an upstream's end says against a request that was there. `strong`: it was about to run or had
- * just begun, and nothing else explains the end. `weak`: it had run for a while, or the upstream was leaving.
+ * How strongly a crash suggests that a request caused it. `strong`: the request was about to run or
+ * had just started, and nothing else explains the crash. `weak`: it had been running for a while,
+ * or the upstream was leaving.
  */
 export type Suspicion = 'strong' | 'weak';
 
 export interface Suspect {
   readonly digest: RequestDigest;
-  /** The caller's attempt that brought it there. */
+  /** The caller's attempt that sent the request to this upstream. */
   readonly attemptId: string;
   readonly suspicion: Suspicion;
 }
 
-/** One life of an upstream ended, with these requests of one daemon. */
+/** Crash of one upstream instance, with the requests that one daemon had there. */
 export interface EndReport {
   readonly lifeId: string;
   readonly suspects: readonly Suspect[];
--- a/packages/policy/src/evidence/constants.ts
+++ b/packages/policy/src/evidence/constants.ts
@@ -1,22 +1,27 @@
-/** Settings of the evidence about versions. */
+/** Constants of the evidence about versions. */
 
-/** Scores from 0 to 1 are counted in this many bins of equal width. */
+/** Number of bins of equal width for scores from 0 to 1. */
 export const SCORE_BIN_COUNT = 20;
 
-/** Counters are kept per epoch, so that old ones can be weighed less without breaking the merge. */
+/**
+ * Length of an epoch. Counts are kept per epoch, so that old ones can be weighted less without
+ * breaking the merge.
+ */
 export const EPOCH_MS = 6 * 3_600_000;
 
-/** Evidence counts half after this time. */
+/** Half-life of the weight of evidence. */
 export const EVIDENCE_HALF_LIFE_MS = 72 * 3_600_000;
 
-/** Epochs older than this many are dropped. */
+/** Epochs older than this number are dropped. */
 export const KEPT_EPOCHS = 28;
 
-/** Ratings that the whole task's evidence for a version counts for in one team's estimate. */
+/**
+ * Maximum weight, in ratings, of other teams' evidence for the same task in one team's estimate.
+ */
 export const TASK_POOL_WEIGHT = 120;
 
-/** Ratings that the version's evidence over all tasks counts for in one task's estimate. */
+/** Maximum weight, in ratings, of the version's evidence for other tasks in one task's estimate. */
 export const VERSION_POOL_WEIGHT = 4;
 
-/** Ratings between two false drift alarms of one task and version, on average and at least. */
+/** Minimum average number of ratings between two false drift alarms of one task and version. */
 export const DRIFT_ALARM_RATINGS = 100_000;
--- a/packages/policy/src/evidence/eProcess.ts
+++ b/packages/policy/src/evidence/eProcess.ts
@@ -1,23 +1,26 @@
 /**
  * Sequential tests by betting. An e-value is the wealth of a gambler who starts with 1 and bets
- * against the null hypothesis; if that holds, the wealth ever reaches 1/alpha with a chance of at
- * most alpha, however often one looks. The wealth depends on the counts only, not on their order,
- * so it can be computed at any time from merged counters.
+ * against the null hypothesis. If the hypothesis holds, the probability that the wealth ever
+ * reaches 1/alpha is at most alpha, however often it is checked. The wealth depends only on the
+ * counts and not on their order, so it can be computed at any time from merged counters.
  */
 import { getBinScore } from './scoreBins.js';
 
-/** Observations of one kind of prompt, with the mean that the null hypothesis allows them. */
+/** Observations of one kind of prompt, and their mean under the null hypothesis. */
 export interface TestStratum {
-  /** Observed values in bins over 0 to 1. */
+  /** Histogram of the observed values, which range from 0 to 1. */
   readonly counts: readonly number[];
-  /** The null hypothesis: the mean value is at most this. */
+  /** Null hypothesis: the mean value is at most this. */
   readonly nullMean: number;
 }
 
-/** Stakes, as parts of the wealth that a value of 0 loses; their wealths are averaged. */
+/**
+ * Stakes, as the fraction of the wealth that a value of 0 loses; the resulting wealths are
+ * averaged.
+ */
 export const STAKES = [0.01, 0.02, 0.04, 0.08, 0.15, 0.3, 0.5, 0.75];
 
-/** Keeps the stakes finite where the null hypothesis allows next to nothing. */
+/** Lower bound of the null mean, which keeps the stakes finite. */
 const MIN_NULL_MEAN = 0.005;
 
 const getStratumLogWealth = (stratum: TestStratum, stake: number): number => {
@@ -28,14 +31,14 @@
   }, 0);
 };
 
-/** Logarithm of the mean of the exponentials, without overflow. */
+/** Logarithm of the mean of exponentials, computed without overflow. */
 export const getLogMeanExp = (values: readonly number[]): number => {
   const max = Math.max(...values);
   const sum = values.reduce((total, value) => total + Math.exp(value - max), 0);
   return max + Math.log(sum / values.length);
 };
 
-/** Log e-value against "in no stratum the mean is above its null mean". */
+/** Log e-value against the hypothesis "no stratum's mean exceeds its null mean". */
 export const getMeanIncreaseLogEValue = (strata: readonly TestStratum[]): number =>
   getLogMeanExp(
     STAKES.map((stake) =>
--- a/packages/policy/src/evidence/evidence.test.ts
+++ b/packages/policy/src/evidence/evidence.test.ts
@@ -1,4 +1,4 @@
-/** Laws of the evidence: merging, pooling, bounds, sequential tests. */
+/** Properties of the evidence: merging, pooling, confidence bounds and sequential tests. */
 import { createRandom } from '@snipehaven/common';
 import fc from 'fast-check';
 import { test } from 'uvu';
@@ -41,7 +41,7 @@
   }),
 );
 
-/** A view of three daemons' counts; any two views may lie at different times of their growth. */
+/** Partial views of the counts of three daemons; any two may stem from different times. */
 const cellArbitrary = fc
   .record({
     outcomes: fc.array(
@@ -73,9 +73,10 @@
   );
 });
 
-test('aggregates of partial views never count more than the daemons did', () => {
-  // Symptom: a version looks proven by ratings counted twice. Sequence: the aggregator's duty moves
-  // to a daemon that has seen other peers. Cause: sums of both added instead of joined.
+test('aggregates of partial views never exceed the counts of the daemons', () => {
+  // Guards against a version that looks proven because ratings were counted twice. This happens
+  // when aggregation moves to a daemon that has received data from other peers and the two
+  // aggregates are added instead of joined.
   fc.assert(
     fc.property(cellArbitrary, cellArbitrary, (a, b) => {
       const whole = mergeCells(a, b);
@@ -87,7 +88,7 @@
   );
 });
 
-test('a new era takes the weight from what was counted before the drift', () => {
+test('a new era discards the weight of counts from before the drift', () => {
   const rated = addOutcome(emptyCell, 'a', { type: 'rated', score: 0.9 }, NOW_MS);
   const drifted = startEra(rated, 1);
   assert.is(sumBins(foldCell(rated, NOW_MS).scoreCounts), 1);
@@ -114,7 +115,7 @@
   assert.ok(many < createEvidence(0.9, 500).mean);
 });
 
-test('other teams count for a bounded number of ratings', () => {
+test("other teams' evidence counts for a bounded number of ratings", () => {
   const own = emptyBins();
   const others = createBins(0.9, 10_000);
   const pooled = poolEvidence({ ownScores: own, taskScores: others, versionScores: others });
@@ -129,7 +130,7 @@
 const drawBadness = (badShare: number, next: () => number): number =>
   next() < badShare ? 0.95 : 0.05;
 
-test('the sequential test raises a false alarm at most as often as its alpha says', () => {
+test('the rate of false alarms of the sequential test is at most alpha', () => {
   const random = createRandom(11);
   const badShare = 0.1;
   const nullMean = badShare * 0.975 + (1 - badShare) * 0.075;
@@ -160,7 +161,7 @@
   return hasDrifted(end);
 };
 
-test('a drift is noticed soon, however long the version was good before', () => {
+test('a drift is detected soon, however long the version was good before', () => {
   assert.is(rateUntilDrift(0.9, 1_000), false);
   assert.is(rateUntilDrift(0.5, 30), true);
 });
--- a/packages/policy/src/evidence/evidenceCell.ts
+++ b/packages/policy/src/evidence/evidenceCell.ts
@@ -1,4 +1,6 @@
-/** Cells of evidence: counting, merging between daemons, folding over sources and epochs. */
+/**
+ * Evidence cells: counting outcomes, merging between daemons, and summing over sources and epochs.
+ */
 import { EPOCH_MS, EVIDENCE_HALF_LIFE_MS, KEPT_EPOCHS } from './constants.js';
 import { emptyBins, getScoreBin } from './scoreBins.js';
 import type {
@@ -10,10 +12,9 @@
   WeightedCounts,
 } from './types.js';
 
-/** A cell that knows nothing. */
 export const emptyCell: EvidenceCell = { era: 0, shares: [] };
 
-/** Counts of nothing. */
+/** Creates counts that are all zero. */
 export const createEmptyCounts = (): OutcomeCounts => ({
   scoreCounts: emptyBins(),
   answerCount: 0,
@@ -23,7 +24,7 @@
   slowCount: 0,
 });
 
-/** The epoch that a moment belongs to. */
+/** Returns the number of the epoch that contains the time. */
 export const getEpoch = (nowMs: number): number => Math.floor(nowMs / EPOCH_MS);
 
 const endCounters: Readonly<Record<AnswerEnd, Partial<OutcomeCounts>>> = {
@@ -33,7 +34,7 @@
   cut: { cutCount: 1 },
 };
 
-/** Combines two sets of counts, count by count. */
+/** Combines two sets of counts field by field. */
 const combineCounts = (
   a: OutcomeCounts,
   b: OutcomeCounts,
@@ -47,14 +48,13 @@
   slowCount: combine(a.slowCount, b.slowCount),
 });
 
-/** The sum of two sets of counts. */
 export const addCounts = (a: OutcomeCounts, b: OutcomeCounts): OutcomeCounts =>
   combineCounts(a, b, (left, right) => left + right);
 
 const joinCounts = (a: OutcomeCounts, b: OutcomeCounts): OutcomeCounts =>
   combineCounts(a, b, Math.max);
 
-/** The counts of a single outcome. */
+/** Returns the counts of a single outcome. */
 export const countOutcome = (outcome: Outcome): OutcomeCounts => {
   const counts = createEmptyCounts();
   if (outcome.type === 'rated') {
@@ -105,8 +105,8 @@
   );
 
 /**
- * Joins what two daemons know: commutative, associative and idempotent, so that messages may come
- * late, twice or out of order.
+ * Merges the counts known to two daemons. The operation is commutative, associative and idempotent,
+ * so messages may be delayed, duplicated or reordered.
  */
 export const mergeCells = (a: EvidenceCell, b: EvidenceCell): EvidenceCell =>
   b.shares.reduce((cell, share) => putShare(cell, share, joinCounts), {
@@ -114,22 +114,23 @@
     era: Math.max(a.era, b.era),
   });
 
-/** Starts a new era after a drift; a join keeps the highest, so that the alarm spreads. */
+/** Starts a new era after a drift. A merge keeps the highest era, so that the alarm spreads. */
 export const startEra = (cell: EvidenceCell, era: number): EvidenceCell => ({
   ...cell,
   era: Math.max(cell.era, era),
 });
 
-/** Drops epochs that have no weight any more. */
+/** Drops epochs that no longer carry weight. */
 export const dropOldEpochs = (cell: EvidenceCell, nowMs: number): EvidenceCell => {
   const oldest = getEpoch(nowMs) - KEPT_EPOCHS;
   return { ...cell, shares: cell.shares.filter((share) => share.epoch > oldest) };
 };
 
 /**
- * One data centre's aggregate, one share an epoch under its own name. Several aggregators may each
- * see a part of the daemons: every aggregate is a lower bound of the true counts, and so is their
- * join. A moved duty therefore never counts an answer twice.
+ * Aggregates a data centre's counts into one share per epoch under the name of the aggregate.
+ * Several aggregators may each see only a part of the daemons. Each aggregate is a lower bound of
+ * the true counts, and so is their join, so no answer is counted twice when another daemon takes
+ * over the aggregation.
  */
 export const aggregateCell = (cell: EvidenceCell, source: string): EvidenceCell =>
   cell.shares.reduce<EvidenceCell>(
@@ -145,7 +146,7 @@
 const scaleCounts = (counts: OutcomeCounts, factor: number): WeightedCounts =>
   combineCounts(counts, counts, (count) => count * factor);
 
-/** Sums the era's shares of all sources, older epochs weighed less by the half-life. */
+/** Sums the current era's shares of all sources, weighting older epochs by the half-life. */
 export const foldCell = (cell: EvidenceCell, nowMs: number): WeightedCounts =>
   cell.shares
     .filter((share) => share.era === cell.era)
--- a/packages/policy/src/evidence/evidencePool.ts
+++ b/packages/policy/src/evidence/evidencePool.ts
@@ -1,22 +1,23 @@
 /**
- * Hierarchical pooling: a team's own ratings of a version for a task, filled up by those of all
- * teams for the task, then of the version over all tasks, then by the operators' prior.
+ * Hierarchical pooling: a team's own ratings of a version for a task are supplemented by those of
+ * all teams for the task, then by those of the version for all tasks, and then by the operators'
+ * prior.
  */
 import { TASK_POOL_WEIGHT, VERSION_POOL_WEIGHT } from './constants.js';
 import { addBins, emptyBins, getBinMean, scaleBins, sumBins } from './scoreBins.js';
 import type { PriorQuality, QualityEvidence } from './types.js';
 
-/** Decayed score histograms at the levels of the hierarchy, each containing the one before. */
+/** Decayed score histograms at the levels of the hierarchy; each one contains the previous one. */
 export interface PooledScores {
-  /** This team, task and version. */
+  /** Ratings of this team, task and version. */
   readonly ownScores: readonly number[];
-  /** All teams' for the task and version. */
+  /** Ratings of all teams for the task and version. */
   readonly taskScores: readonly number[];
-  /** The version's over all tasks. */
+  /** Ratings of the version over all tasks. */
   readonly versionScores: readonly number[];
 }
 
-/** A histogram worth at most `maxWeight` ratings. */
+/** Scales a histogram down to a total of at most `maxWeight` ratings. */
 const capBins = (bins: readonly number[], maxWeight: number): readonly number[] => {
   const weight = sumBins(bins);
   return weight <= maxWeight ? bins : scaleBins(bins, maxWeight / weight);
@@ -25,7 +26,9 @@
 const subtractBins = (a: readonly number[], b: readonly number[]): readonly number[] =>
   a.map((count, bin) => Math.max(0, count - (b[bin] ?? 0)));
 
-/** A two-point histogram with the prior's mean, the widest that the mean allows. */
+/**
+ * Two-point histogram with the prior's mean, which has the largest variance possible for that mean.
+ */
 const getPriorBins = (prior: PriorQuality): readonly number[] => {
   const bins = emptyBins();
   bins[0] = prior.weight * (1 - prior.quality);
@@ -43,10 +46,9 @@
   };
 };
 
-/** Evidence of nothing. */
 export const noEvidence: QualityEvidence = toEvidence(emptyBins(), 0);
 
-/** Pools the levels of the hierarchy into one estimate. */
+/** Pools all levels of the hierarchy into one estimate. */
 export const poolEvidence = (scores: PooledScores, prior?: PriorQuality): QualityEvidence => {
   const otherTeams = subtractBins(scores.taskScores, scores.ownScores);
   const otherTasks = subtractBins(scores.versionScores, scores.taskScores);
--- a/packages/policy/src/evidence/qualityBound.ts
+++ b/packages/policy/src/evidence/qualityBound.ts
@@ -2,7 +2,10 @@
 import { getBinScore } from './scoreBins.js';
 import type { QualityEvidence } from './types.js';
 
-/** Standard normal quantile by Acklam's rational approximation; error below 1e-8 of its range. */
+/**
+ * Standard normal quantile by Acklam's rational approximation, with an error below 1e-8 of its
+ * range.
+ */
 const CENTRAL_A = [
   -39.69683028665376, 220.9460984245205, -275.9285104469687, 138.357751867269, -30.66479806614716,
   2.506628277459239,
@@ -26,7 +29,7 @@
   return evaluatePolynomial(TAIL_C, q) / evaluatePolynomial(TAIL_D, q);
 };
 
-/** The point below which a standard normal variable falls with the probability. */
+/** Returns the value that a standard normal variable stays below with the given probability. */
 export const getNormalQuantile = (probability: number): number => {
   if (probability < TAIL_PROBABILITY) {
     return getTailQuantile(probability);
@@ -39,7 +42,10 @@
   return (q * evaluatePolynomial(CENTRAL_A, r)) / evaluatePolynomial(CENTRAL_B, r);
 };
 
-/** Pseudo-ratings at half score that keep the bound finite with little evidence. */
+/**
+ * Number of pseudo-ratings with a score of one half, which keep the bound finite with little
+ * evidence.
+ */
 const PSEUDO_WEIGHT = 1;
 
 const getVariance = (evidence: QualityEvidence): number =>
@@ -57,12 +63,15 @@
 };
 
 /**
- * The mean score that the version exceeds with the given confidence (0.5 to 1), by a normal bound
- * with the observed variance. Without evidence it is 0.
+ * Returns the mean score that the version exceeds with the given confidence (0.5 to 1), by a normal
+ * approximation with the observed variance. Without evidence it is 0.
  */
 export const getQualityLowerBound = (evidence: QualityEvidence, confidence: number): number =>
   evidence.weight === 0 ? 0 : getBound(evidence, -getNormalQuantile(confidence));
 
-/** The mean score that the version stays below with the given confidence. */
+/**
+ * Returns the mean score that the version stays below with the given confidence; 1 without
+ * evidence.
+ */
 export const getQualityUpperBound = (evidence: QualityEvidence, confidence: number): number =>
   evidence.weight === 0 ? 1 : getBound(evidence, getNormalQuantile(confidence));
--- a/packages/policy/src/evidence/types.ts
+++ b/packages/policy/src/evidence/types.ts
@@ -1,84 +1,84 @@
-/** Evidence about the quality of versions, as counted, merged and folded. */
+/** Types of the evidence about the quality of versions. */
 import type { TeamId, VersionId } from '@snipehaven/common';
 
-/** What one cell of evidence is about. */
+/** Identifies one cell of evidence. */
 export interface EvidenceKey {
   readonly team: TeamId;
   readonly task: string;
   readonly version: VersionId;
   /**
-   * An escalated answer replaced a cheaper one that was rated too low. Its prompts are harder
-   * than the average, so its ratings are kept apart from those of direct answers.
+   * An escalated answer replaces a cheaper one that was rated too low. Its prompts are harder than
+   * average, so its ratings are kept apart from those of direct answers.
    */
   readonly position: AnswerPosition;
 }
 
-/** Where in a plan an answer stood. */
+/** Whether an answer is the first of its plan or follows an escalation. */
 export type AnswerPosition = 'direct' | 'escalated';
 
-/** Outcomes counted by one source during one epoch; each count only ever grows. */
+/** Counts of one source during one epoch; each count only ever increases. */
 export interface OutcomeCounts {
   /** Ratings by score, in {@link SCORE_BIN_COUNT} bins. */
   readonly scoreCounts: readonly number[];
-  /** Answers that ended in any way, rated or not. */
+  /** Answers that ended in any way, whether or not they were rated. */
   readonly answerCount: number;
-  /** Answers that ended in an error of the engine. */
+  /** Answers that ended with an engine error. */
   readonly errorCount: number;
   /** Answers without text. */
   readonly emptyCount: number;
-  /** Answers cut off before their end. */
+  /** Truncated answers. */
   readonly cutCount: number;
-  /** Answers slower than the threshold in force when they ended. */
+  /** Answers slower than the threshold that was in force when they ended. */
   readonly slowCount: number;
 }
 
-/** How one answer ended, before any rating of it. */
+/** How an answer ended, before it is rated. */
 export type AnswerEnd = 'complete' | 'error' | 'empty' | 'cut';
 
-/** What can be counted: the end of an answer, or its rating, which comes later or never. */
+/** An observation to count: the end of an answer, or its rating, which arrives later or never. */
 export type Outcome =
   | { readonly type: 'ended'; readonly end: AnswerEnd; readonly isSlow: boolean }
   | { readonly type: 'rated'; readonly score: number };
 
-/** Counters of one source during one epoch. */
+/** The counters of one source during one epoch. */
 export interface EvidenceShare {
-  /** A daemon's incarnation, or a data centre's aggregate. */
+  /** A daemon's incarnation, or the aggregate of a data centre. */
   readonly source: string;
-  /** Number of the epoch since 1970. */
+  /** Number of epochs since 1970. */
   readonly epoch: number;
-  /** How often the version had drifted when this was counted. */
+  /** Number of drifts of the version that had been detected when this was counted. */
   readonly era: number;
   readonly counts: OutcomeCounts;
 }
 
 /**
- * All that is known about one key: a join-semilattice. Shares of the same source and epoch join by
- * the maximum of each count, shares of different ones stand side by side.
+ * All evidence for one key, as a join-semilattice: shares of the same source and epoch join by the
+ * maximum of each count, and shares of different sources or epochs are kept side by side.
  */
 export interface EvidenceCell {
-  /** Rises when a drift is noticed; counts of earlier eras no longer speak for the version. */
+  /** Increases when a drift is detected; counts of earlier eras no longer apply to the version. */
   readonly era: number;
   readonly shares: readonly EvidenceShare[];
 }
 
-/** Counts folded over sources and epochs, old ones weighed less. */
+/** Counts summed over sources and epochs, with older ones weighted less. */
 export type WeightedCounts = OutcomeCounts;
 
-/** The pooled estimate of an answer's quality. */
+/** Pooled estimate of the quality of an answer. */
 export interface QualityEvidence {
-  /** Probability of each score bin; sums to 1, or to 0 when nothing is known. */
+  /** Probability of each score bin; the sum is 1, or 0 if nothing is known. */
   readonly scoreShares: readonly number[];
   /** Mean score. */
   readonly mean: number;
-  /** How many ratings the estimate is worth. */
+  /** Number of ratings that the estimate is worth. */
   readonly weight: number;
-  /** Ratings of this very team and task, decayed, without any pooling. */
+  /** Decayed number of ratings of this team and task alone, without pooling. */
   readonly ownWeight: number;
 }
 
-/** The operators' expectation of a version before evidence arrives. */
+/** The operators' expectation of a version before there is evidence. */
 export interface PriorQuality {
   readonly quality: number;
-  /** How many ratings the expectation counts for. */
+  /** Number of ratings that the expectation is worth. */
   readonly weight: number;
 }
--- a/packages/policy/src/forward/chooseModelStep.ts
+++ b/packages/policy/src/forward/chooseModelStep.ts
@@ -1,24 +1,26 @@
 /**
- * The cascade of one route's models: the smallest model answers first and reports how sure it is; an
- * unsure answer is dropped before the caller has any of it, and the largest model is asked.
+ * The cascade over the models of one route: the smallest model answers first and reports its
+ * confidence. An answer with low confidence is discarded before any of it reaches the caller, and
+ * the largest model is asked instead.
  *
- * How sure is sure enough follows from what waits. The largest model takes ten times the smallest one's
- * time: while upstreams have room an unsure answer is worth asking again, but when the better answer would
- * come late, or make those behind it late, the one at hand is kept.
+ * The required confidence depends on the load. The largest model takes ten times as long as the
+ * smallest one. While upstreams have free capacity, an uncertain answer is worth asking again; if
+ * the better answer would be late, or would delay the requests queued behind it, the present answer
+ * is kept.
  */
 
 export interface CascadeInput {
-  /** Smallest first. */
+  /** From smallest to largest. */
   readonly models: readonly string[];
-  /** The model's opinion of its answer, 0 to 100. */
+  /** The model's confidence in its answer, from 0 to 100. */
   readonly confidence: number;
-  /** Left until the answer counts as late. */
+  /** Time left until the answer counts as late. */
   readonly onTimeLeftMs: number;
-  /** What waits at the largest model's best upstream before this request. */
+  /** Queueing time at the largest model's best upstream. */
   readonly waitMs: number;
-  /** What waits at an upstream in the mean. */
+  /** Mean queueing time over the upstreams. */
   readonly meanWaitMs: number;
-  /** Until the largest model's answer is expected to begin there: the wait, and reading the prompt. */
+  /** Expected time until the largest model's answer starts there: queueing plus prefill. */
   readonly expectedStartMs: number;
   /** 0 is the most urgent. */
   readonly priority: number;
@@ -26,80 +28,88 @@
 }
 
 /**
- * Confidence below which an answer is asked for again while there is room, by rank of urgency. What is
- * least urgent is worth least to its callers, while the larger model's price for a request does not follow
- * its worth.
+ * Confidence below which an answer is asked again while upstreams are idle, by priority. The least
+ * urgent requests are worth the least to their callers, but the cost of the larger model per
+ * request does not decrease with that value.
  */
-const CALM_THRESHOLDS = [60, 60, 35] as const;
+const IDLE_THRESHOLDS = [60, 60, 35] as const;
 
-/** For the ranks after those. */
-const CALM_THRESHOLD_AFTER = 35;
+/** For all further priorities. */
+const DEFAULT_IDLE_THRESHOLD = 35;
 
-const getCalmThreshold = (priority: number): number =>
-  CALM_THRESHOLDS[priority] ?? CALM_THRESHOLD_AFTER;
+const getIdleThreshold = (priority: number): number =>
+  IDLE_THRESHOLDS[priority] ?? DEFAULT_IDLE_THRESHOLD;
 
 /**
- * Where the better answer would be late none is worth it: an unsure answer in time is worth more to its
- * caller than a sure one late, and the engine's time makes those behind it late as well.
+ * Threshold when the better answer would be late. No confidence is too low then: an uncertain
+ * answer in time is worth more to the caller than a certain one that is late, and the engine time
+ * spent on it delays the requests behind it as well.
  */
 const LATE_THRESHOLD = 0;
 
 /**
- * Parts of the time left, while nothing waits. Up to the first the better answer comes in time, beyond the
- * second it does not.
+ * Expected start of the better answer on an idle system, as a fraction of the time left. Up to the
+ * first bound the answer is in time, beyond the second it is late.
  */
-const RISKY_START_PART = 0.7;
-const LATE_START_PART = 1.2;
+const LATENESS_RAMP_START = 0.7;
+const LATENESS_RAMP_END = 1.2;
 
 /**
- * What waits says how much has come that is not known yet: many daemons see the same idle upstream. From the
- * first part of the time left on that others wait, to the second, both bounds come sooner by up to this.
+ * Mean queueing time, as a fraction of the time left, between whose bounds both lateness bounds are
+ * lowered by up to `PRESSURE_SHIFT`. The queueing time indicates how much work has arrived that is
+ * not yet known, because many daemons see the same idle upstream.
  */
-const SETTLED_WAIT_PART = 0.05;
-const PRESSED_WAIT_PART = 0.12;
-const PRESSED_SOONER = 0.4;
+const PRESSURE_RAMP_START = 0.05;
+const PRESSURE_RAMP_END = 0.12;
+const PRESSURE_SHIFT = 0.4;
 
-/** Parts of the time left that others wait already: from the first on more work makes some of them late. */
-const BUSY_WAIT_PART = 0.3;
-const CROWDED_WAIT_PART = 1;
+/**
+ * Queueing time of other requests, as a fraction of the time left. Beyond the first bound,
+ * additional work makes some of them late.
+ */
+const QUEUEING_RAMP_START = 0.3;
+const QUEUEING_RAMP_END = 1;
 
-/** Less urgent requests give way earlier: each rank makes the wait count this much more. */
-const RANK_WEIGHT = 0.5;
+/**
+ * Less urgent requests yield earlier: each priority level increases the weight of the queueing time
+ * by this much.
+ */
+const PRIORITY_WAIT_WEIGHT = 0.5;
 
-/** 0 up to the first bound, 1 from the second on. */
+/** Linear ramp: 0 up to the first bound, 1 from the second bound on. */
 const ramp = (value: number, from: number, to: number): number =>
   Math.min(1, Math.max(0, (value - from) / (to - from)));
 
-/** The confidence that is sure enough. */
-export const getSureConfidence = (
+/** Returns the confidence from which an answer is kept. */
+export const getConfidenceThreshold = (
   input: Pick<
     CascadeInput,
     'expectedStartMs' | 'waitMs' | 'meanWaitMs' | 'onTimeLeftMs' | 'priority'
   >,
 ): number => {
   const leftMs = Math.max(1, input.onTimeLeftMs);
-  const pressure = ramp(input.meanWaitMs / leftMs, SETTLED_WAIT_PART, PRESSED_WAIT_PART);
-  const sooner = PRESSED_SOONER * pressure;
+  const pressure = ramp(input.meanWaitMs / leftMs, PRESSURE_RAMP_START, PRESSURE_RAMP_END);
+  const shift = PRESSURE_SHIFT * pressure;
   const lateness = ramp(
     input.expectedStartMs / leftMs,
-    RISKY_START_PART - sooner,
-    LATE_START_PART - sooner,
+    LATENESS_RAMP_START - shift,
+    LATENESS_RAMP_END - shift,
   );
-  const wait = (input.waitMs / leftMs) * (1 + RANK_WEIGHT * input.priority);
-  const crowding = ramp(wait, BUSY_WAIT_PART, CROWDED_WAIT_PART);
-  const calm = getCalmThreshold(input.priority);
-  return calm - (calm - LATE_THRESHOLD) * Math.max(lateness, crowding);
+  const wait = (input.waitMs / leftMs) * (1 + PRIORITY_WAIT_WEIGHT * input.priority);
+  const queueing = ramp(wait, QUEUEING_RAMP_START, QUEUEING_RAMP_END);
+  const idleThreshold = getIdleThreshold(input.priority);
+  return idleThreshold - (idleThreshold - LATE_THRESHOLD) * Math.max(lateness, queueing);
 };
 
-/** Whether an answer so sure is kept however idle the upstreams are. */
+/** Whether the confidence is high enough to keep the answer even when all upstreams are idle. */
 export const isAlwaysSure = (confidence: number, priority: number): boolean =>
-  confidence >= getCalmThreshold(priority);
+  confidence >= getIdleThreshold(priority);
 
-/** The model to ask instead, or undefined when the answer at hand is to be kept. */
-export const chooseNextModel = (input: CascadeInput, present: string): string | undefined => {
+/** Returns the model to ask instead, or undefined if the present answer is kept. */
+export const chooseNextModel = (input: CascadeInput, current: string): string | undefined => {
   const largest = input.models.at(-1);
-  if (largest === undefined || largest === present || !input.canAttemptAgain) {
+  if (largest === undefined || largest === current || !input.canAttemptAgain) {
     return undefined;
   }
-  return input.confidence >= getSureConfidence(input) ? undefined : largest;
+  return input.confidence >= getConfidenceThreshold(input) ? undefined : largest;
 };
--- a/packages/policy/src/forward/choosePlace.test.ts
+++ b/packages/policy/src/forward/choosePlace.test.ts
@@ -1,9 +1,9 @@
-/** Placing: expected wait, kept parts, data centres, failing upstreams. */
+/** Placement by expected wait, cached prompt parts, data centres and failing upstreams. */
 import { createRandom } from '@snipehaven/common';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { choosePlace, type PlaceCandidate, type PlaceInput } from './choosePlace.js';
-import { getLeaveMs, listLane } from './lanes.js';
+import { getLeaveMs, listPartition } from './modelPartitions.js';
 import { ModelDemand } from './modelDemand.js';
 
 const candidate = (id: string, more: Partial<PlaceCandidate> = {}): PlaceCandidate => ({
@@ -32,13 +32,13 @@
 
 const place = (more: Partial<PlaceInput>) => choosePlace({ ...INPUT, ...more });
 
-test('requests of one subject go to one local upstream, which keeps their shared part', () => {
+test('requests of one subject go to one local upstream, which caches their shared part', () => {
   const ids = [0, 0.3, 0.6, 0.9].map((random) => place({ affinityKey: 'subject', random })?.id);
   assert.is(new Set(ids).size, 1);
   assert.ok(place({ affinityKey: 'subject' })?.isOwner);
 });
 
-test('the keeper is left when more waits there than reading the part anew takes', () => {
+test('the owner is not chosen when its queue takes longer than prefilling the part elsewhere', () => {
   const owner = place({ affinityKey: 'subject' })?.id;
   const busy = INPUT.candidates.map((one) => (one.id === owner ? { ...one, backlog: 5_600 } : one));
   const chosen = place({ affinityKey: 'subject', candidates: busy });
@@ -46,7 +46,7 @@
   assert.not(chosen?.isOwner);
 });
 
-test('another data centre takes work only when the local wait exceeds its penalty', () => {
+test('another data centre is chosen only when the local wait exceeds its penalty', () => {
   const local = (backlog: number) => [
     candidate('one', { backlog }),
     candidate('far', { dataCentre: 'b', remotePenalty: 5_000 }),
@@ -55,13 +55,14 @@
   assert.is(place({ candidates: local(6_000) })?.id, 'far');
 });
 
-// Symptom: prompts of the largest model are read three times over. Sequence: requests of a subject come in
-// three data centres. Cause: a home of the shared part in each, though reading takes longer than the way.
-test('a part has one home over all data centres where reading it takes longer than the way', () => {
-  const from = (dataCentre: string, wayThere: number) => {
+// Guards against prefilling the largest model's prompts three times. This happens when requests of
+// one subject arrive in three data centres and each has its own owner of the shared parts, although
+// prefill takes longer than the network path.
+test('a part has one owner over all data centres if prefill takes longer than the network path', () => {
+  const from = (dataCentre: string, pathPenalty: number) => {
     const candidates = INPUT.candidates.map((one) => ({
       ...one,
-      remotePenalty: one.dataCentre === dataCentre ? 0 : wayThere,
+      remotePenalty: one.dataCentre === dataCentre ? 0 : pathPenalty,
     }));
     return place({ affinityKey: 'subject', candidates })?.id;
   };
@@ -71,12 +72,13 @@
 
 const EIGHT = ['1', '2', '3', '4', '5', '6', '7', '8'].map((id) => candidate(id));
 
-// Symptom: first answers are late everywhere while a few long prompts are read. Sequence: unsure answers are
-// asked again of the largest model, on all upstreams. Cause: its prompts stop whatever runs beside them.
-test('while upstreams are busy a model keeps to its lane, unless much more waits there', () => {
+// Guards against late first answers everywhere while a few long prompts are prefilled. This happens
+// when uncertain answers are asked again of the largest model on all upstreams, because its prompts
+// block whatever runs beside them.
+test('while upstreams are busy a model stays in its partition unless its queues are much longer', () => {
   const lane = { from: 0, to: 0.5 };
   const ids = EIGHT.map(({ id }) => id);
-  const inLane = listLane(ids, lane);
+  const inLane = listPartition(ids, lane);
   assert.is(inLane.size, 4);
   const load = (backlog: number) =>
     EIGHT.map((one) => (inLane.has(one.id) ? { ...one, backlog } : one));
@@ -84,18 +86,18 @@
     place({ candidates: load(backlog), lane, leavePenalty, sharedWork: 0 })?.id ?? '';
   assert.ok(inLane.has(chosen(4_000, 5_000)));
   assert.not(inLane.has(chosen(9_000, 5_000)));
-  assert.not(inLane.has(chosen(4_000, 0)), 'free to leave when nothing waits');
+  assert.not(inLane.has(chosen(4_000, 0)), 'no penalty while upstreams are idle');
 });
 
-test('a lane is never empty, and without one all upstreams are meant', () => {
-  assert.is(listLane(['a', 'b'], { from: 0.9, to: 0.95 }).size, 1);
-  assert.is(listLane(['a'], { from: 0, to: 0.1 }).size, 1);
-  assert.is(listLane([], { from: 0, to: 0.1 }).size, 0);
-  assert.is(listLane(['a', 'b', 'c'], undefined).size, 3);
+test('a partition is never empty, and without one all upstreams are included', () => {
+  assert.is(listPartition(['a', 'b'], { from: 0.9, to: 0.95 }).size, 1);
+  assert.is(listPartition(['a'], { from: 0, to: 0.1 }).size, 1);
+  assert.is(listPartition([], { from: 0, to: 0.1 }).size, 0);
+  assert.is(listPartition(['a', 'b', 'c'], undefined).size, 3);
   assert.is(getLeaveMs(0), 0);
 });
 
-test('lanes follow the work seen, the largest model first', () => {
+test('partitions follow the placed work, starting with the largest model', () => {
   const demand = new ModelDemand();
   assert.is(demand.findLane(['small', 'large'], 'small'), undefined);
   for (let index = 0; index < 100; index += 1) {
@@ -112,9 +114,10 @@
   assert.is(demand.findLane(['small', 'middle', 'large'], 'middle'), undefined);
 });
 
-// Symptom: half of the requests of a service fail though others could serve them. Sequence: one
-// upstream fails four in ten at once, so nothing waits there, and it draws the most. Cause: load alone.
-test('an upstream that fails often is avoided though nothing waits there', () => {
+// Guards against failures of half of a service's requests although other upstreams could serve
+// them. An upstream that rejects four in ten requests at once has no queue, so placement by load
+// alone sends it the most.
+test('an upstream that fails often is avoided although it has no queue', () => {
   const candidates = [
     candidate('failing', { failureShare: 0.4 }),
     candidate('busy', { backlog: 20_000 }),
@@ -122,9 +125,10 @@
   assert.is(place({ candidates })?.id, 'busy');
 });
 
-// Symptom: answers pause for over a second. Sequence: a prompt of 50,000 tokens is read at an upstream that
-// writes ten answers, each of whose tokens waits for a part of it. Cause: only the reader's wait was weighed.
-test('a long prompt goes where few answers run, a short one where little waits', () => {
+// Guards against answers that pause for more than a second. This happens when a prompt of 50,000
+// tokens is prefilled at an upstream that is decoding ten answers, each of whose tokens waits for a
+// part of it, and placement only considers the wait of the long prompt.
+test('a long prompt is placed where few answers run, a short one where the queue is short', () => {
   const candidates = [
     candidate('writing', { requests: 10 }),
     candidate('waiting', { backlog: 9_000, requests: 1 }),
@@ -133,7 +137,7 @@
   assert.is(place({ candidates, ownWork: 800, sharedWork: 0 })?.id, 'writing');
 });
 
-test('a suspect is the last resort, but a resort', () => {
+test('a suspect upstream is chosen only if there is no other', () => {
   const suspect = candidate('one', { isSuspect: true });
   assert.is(place({ candidates: [suspect, candidate('two', { backlog: 90_000 })] })?.id, 'two');
   assert.is(place({ candidates: [suspect] })?.id, 'one');
@@ -141,10 +145,12 @@
 });
 
 /**
- * Plays a load: prompts whose lengths differ by eighty times arrive at six upstreams that read 20 tokens
- * a ms. Returns the longest and the mean wait.
+ * Simulates prompts whose lengths differ by a factor of up to 80, arriving at six upstreams that
+ * prefill 20 tokens per millisecond. Returns the mean and the longest wait.
  */
-const playLoad = (countsTokens: boolean): { readonly meanMs: number; readonly maxMs: number } => {
+const simulateLoad = (
+  countsTokens: boolean,
+): { readonly meanMs: number; readonly maxMs: number } => {
   const random = createRandom(7);
   const ids = ['a1', 'a2', 'a3', 'a4', 'a5', 'a6'];
   const freeAtMs = new Map(ids.map((id) => [id, 0]));
@@ -174,10 +180,11 @@
   return { meanMs: sum / waits.length, maxMs: Math.max(...waits) };
 };
 
-// Mean wait 135 ms by requests and 92 ms by tokens; longest 2,420 ms and 1,402 ms.
-test('counting tokens instead of requests shortens the wait under long prompts', () => {
-  const byRequests = playLoad(false);
-  const byTokens = playLoad(true);
+// The mean wait is 135 ms when counting requests and 92 ms when counting tokens; the longest is
+// 2,420 ms and 1,402 ms.
+test('counting tokens instead of requests shortens the wait with long prompts', () => {
+  const byRequests = simulateLoad(false);
+  const byTokens = simulateLoad(true);
   assert.ok(byTokens.meanMs < byRequests.meanMs * 0.8, `${byTokens.meanMs} ${byRequests.meanMs}`);
   assert.ok(byTokens.maxMs < byRequests.maxMs, `${byTokens.maxMs} ${byRequests.maxMs}`);
 });
--- a/packages/policy/src/forward/choosePlace.ts
+++ b/packages/policy/src/forward/choosePlace.ts
@@ -1,137 +1,152 @@
 /**
- * Chooses the upstream for one attempt: the one where the answer is expected to begin first. Answers the
- * load of long prompts that share parts. What waits at an upstream, of all daemons, is counted in tokens
- * rather than requests, since one prompt may be eighty times as long as another; reading a part that
- * the upstream has not read is added; other data centres cost a penalty for the bytes between them, and so
- * do, while upstreams are busy, those that are meant for other models.
+ * Chooses the upstream for one attempt: the one where the answer is expected to start first.
+ * Designed for long prompts with shared parts. The backlog of an upstream, over all daemons, is
+ * measured in tokens instead of requests, because one prompt may be 80 times as long as another.
+ * Prefilling a part that the upstream has not cached is added, and so is a penalty for other data
+ * centres, for the bytes in between. While upstreams are busy, those of other models' partitions
+ * have a penalty as well.
  */
 import { getAffinityWeight, hashAffinityKey } from '../upstreamChoice/affinity/affinityHash.js';
-import { listLane, type Lane } from './lanes.js';
+import { listPartition, type Lane } from './modelPartitions.js';
 
 export interface PlaceCandidate {
   readonly id: string;
   readonly dataCentre: string;
-  /** What the way to its data centre costs, 0 for the local one; in the backlog's unit. */
+  /** Cost of the path to the upstream's data centre, 0 for the local one; in the backlog's unit. */
   readonly remotePenalty: number;
-  /** Work ahead of a new request, of all daemons as far as known. */
+  /** Work ahead of a new request, over all daemons as far as known. */
   readonly backlog: number;
-  /** Requests there. */
+  /** Number of requests at the upstream. */
   readonly requests: number;
-  /** Places taken, as a share of those that the upstream has. */
+  /** Used slots as a fraction of the upstream's slots. */
   readonly occupancy: number;
-  /** Recent share of failures, 0 to 1. */
+  /** Recent failure rate, from 0 to 1. */
   readonly failureShare: number;
-  /** Thought dead, or gone from the list for reasons that may be the list's own. */
+  /** Considered dead, or missing from the VM list for reasons that may be the list's own. */
   readonly isSuspect: boolean;
 }
 
 export interface PlaceInput {
   readonly candidates: readonly PlaceCandidate[];
-  /** What requests have in common whose prompts share parts. */
+  /** Equal for requests whose prompts share parts. */
   readonly affinityKey?: string;
-  /** Work of reading the shared parts where they are not kept; in the backlog's unit. */
+  /** Work of prefilling the shared parts where they are not cached; in the backlog's unit. */
   readonly sharedWork: number;
-  /** What the request itself adds; in the backlog's unit. */
+  /** Work that the request itself adds; in the backlog's unit. */
   readonly ownWork: number;
-  /** What an upstream outside the lane costs; in the backlog's unit. */
+  /** Penalty of an upstream outside the model's partition; in the backlog's unit. */
   readonly leavePenalty: number;
-  /** The upstreams meant for the request's model; absent: all. */
+  /**
+   * Partition of the upstreams that is assigned to the request's model; unset means all upstreams.
+   */
   readonly lane?: Lane;
   /** Uniform in [0, 1). */
   readonly random: number;
 }
 
-export interface Placed {
+export interface Placement {
   readonly id: string;
-  /** Whether the upstream is thought to keep the shared parts. */
+  /** Whether the upstream is expected to have the shared parts cached. */
   readonly isOwner: boolean;
 }
 
-/** Failure shares below this are the requests' own fault as often as the upstream's. */
+/** Failure rates below this are caused by the requests as often as by the upstream. */
 const USUAL_FAILURE_SHARE = 0.2;
 
-/** An upstream that fails four in ten looks as if it had this many more of such requests waiting. */
-const FAILURE_WEIGHT = 20;
+/**
+ * Penalty for failures beyond the usual rate, as a multiple of the request's own work. An upstream
+ * that fails four in ten requests counts as if four more such requests were queued there.
+ */
+const FAILURE_PENALTY_FACTOR = 20;
 
 /**
- * Reading a prompt holds up each answer that is being written there. One held up counts this part of the
- * request's own wait; by it the longest prompts go where few answers run.
+ * Prefilling a prompt delays each answer that the upstream is decoding. Each delayed answer counts
+ * as this fraction of the request's own wait, so the longest prompts go where few answers run.
  */
-const HOLD_UP_SHARE = 0.15;
+const INTERFERENCE_FACTOR = 0.15;
 
-/** With all places taken a request waits for one to end: as if several more of it were ahead. */
+/**
+ * When all slots are used, a request waits for one to be released, as if several more requests were
+ * ahead.
+ */
 const FULL_OCCUPANCY = 0.95;
-const FULL_WEIGHT = 8;
+const FULL_PENALTY_FACTOR = 8;
 
-/** Backlogs nearer to each other than this share of the request's own work are the same. */
+/** Backlogs that differ by less than this fraction of the request's own work count as equal. */
 const TIE_SHARE = 0.05;
 
-/** In place of a data centre's name. */
-const ALL_NEAR = '';
+/** Group key used in place of a data centre's name. */
+const NEARBY_DATA_CENTRES = '';
 
 /**
- * The upstreams that keep the shared parts: one of all that are nearer than reading them takes, and one in
- * each data centre beyond. With one in each data centre, prompts are read as many times over.
+ * Returns the owners of the shared parts: one among all upstreams whose path costs less than the
+ * prefill, and one in each data centre beyond. With one owner in each data centre, prompts would be
+ * prefilled as many times.
  */
-const findOwners = (input: PlaceInput, lane: ReadonlySet<string>): ReadonlySet<string> => {
+const findOwners = (input: PlaceInput, partition: ReadonlySet<string>): ReadonlySet<string> => {
   const owners = new Map<string, { readonly id: string; readonly weight: number }>();
   if (input.affinityKey !== undefined) {
     const hash = hashAffinityKey(input.affinityKey);
     for (const { id, dataCentre, remotePenalty } of input.candidates) {
       const weight = getAffinityWeight(hash, id);
-      const home = remotePenalty < input.sharedWork ? ALL_NEAR : dataCentre;
-      if (lane.has(id) && weight > (owners.get(home)?.weight ?? -1)) {
-        owners.set(home, { id, weight });
+      const cacheGroup = remotePenalty < input.sharedWork ? NEARBY_DATA_CENTRES : dataCentre;
+      if (partition.has(id) && weight > (owners.get(cacheGroup)?.weight ?? -1)) {
+        owners.set(cacheGroup, { id, weight });
       }
     }
   }
   return new Set([...owners.values()].map(({ id }) => id));
 };
 
-interface Standing {
+interface CandidateRole {
   readonly isOwner: boolean;
-  readonly isInLane: boolean;
+  readonly isInPartition: boolean;
 }
 
 const getCost = (
   candidate: PlaceCandidate,
-  { isOwner, isInLane }: Standing,
+  { isOwner, isInPartition }: CandidateRole,
   input: PlaceInput,
 ): number => {
   const work = input.ownWork + input.sharedWork;
-  const reading = input.ownWork + (isOwner ? 0 : input.sharedWork);
-  const failing = Math.max(0, candidate.failureShare - USUAL_FAILURE_SHARE);
+  const prefillWork = input.ownWork + (isOwner ? 0 : input.sharedWork);
+  const excessFailureShare = Math.max(0, candidate.failureShare - USUAL_FAILURE_SHARE);
   const isFull = candidate.occupancy >= FULL_OCCUPANCY;
   return (
     candidate.backlog +
-    reading * (1 + HOLD_UP_SHARE * candidate.requests) +
+    prefillWork * (1 + INTERFERENCE_FACTOR * candidate.requests) +
     candidate.remotePenalty +
-    (isInLane ? 0 : input.leavePenalty) +
-    work * (failing * FAILURE_WEIGHT + (isFull ? FULL_WEIGHT * candidate.occupancy : 0))
+    (isInPartition ? 0 : input.leavePenalty) +
+    work *
+      (excessFailureShare * FAILURE_PENALTY_FACTOR +
+        (isFull ? FULL_PENALTY_FACTOR * candidate.occupancy : 0))
   );
 };
 
-const listSound = (candidates: readonly PlaceCandidate[]): readonly PlaceCandidate[] => {
-  const sound = candidates.filter((candidate) => !candidate.isSuspect);
-  return sound.length > 0 ? sound : candidates;
+const listUnsuspected = (candidates: readonly PlaceCandidate[]): readonly PlaceCandidate[] => {
+  const unsuspected = candidates.filter((candidate) => !candidate.isSuspect);
+  return unsuspected.length > 0 ? unsuspected : candidates;
 };
 
-/** Undefined when there is no candidate at all. */
-export const choosePlace = (input: PlaceInput): Placed | undefined => {
-  const sound = listSound(input.candidates);
-  const ids = sound.map(({ id }) => id);
-  const lane = listLane(ids, input.lane);
-  const owners = findOwners(input, lane);
-  const tie = (input.ownWork + input.sharedWork) * TIE_SHARE;
-  const offset = Math.floor(input.random * sound.length);
+/** Undefined when there are no candidates. */
+export const choosePlace = (input: PlaceInput): Placement | undefined => {
+  const unsuspected = listUnsuspected(input.candidates);
+  const ids = unsuspected.map(({ id }) => id);
+  const partition = listPartition(ids, input.lane);
+  const owners = findOwners(input, partition);
+  const tieThreshold = (input.ownWork + input.sharedWork) * TIE_SHARE;
+  const offset = Math.floor(input.random * unsuspected.length);
   let best: PlaceCandidate | undefined;
   let bestCost = Infinity;
-  for (let index = 0; index < sound.length; index += 1) {
-    const candidate = sound[(index + offset) % sound.length];
+  for (let index = 0; index < unsuspected.length; index += 1) {
+    const candidate = unsuspected[(index + offset) % unsuspected.length];
     if (candidate !== undefined) {
-      const standing = { isOwner: owners.has(candidate.id), isInLane: lane.has(candidate.id) };
-      const cost = getCost(candidate, standing, input);
-      if (cost < bestCost - tie) {
+      const role = {
+        isOwner: owners.has(candidate.id),
+        isInPartition: partition.has(candidate.id),
+      };
+      const cost = getCost(candidate, role, input);
+      if (cost < bestCost - tieThreshold) {
         best = candidate;
         bestCost = cost;
       }
--- a/packages/policy/src/forward/coldShare.test.ts
+++ b/packages/policy/src/forward/coldShare.test.ts
@@ -1,4 +1,4 @@
-/** What all daemons together send to an upstream that has come back cold. */
+/** Total rate at which all daemons send to an upstream that has returned cold. */
 import { createRandom, type Random } from '@snipehaven/common';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -10,18 +10,18 @@
 
 interface Fleet {
   readonly daemons: number;
-  /** Requests that each daemon has for the upstream in a second, were it warm. */
+  /** Requests per second that each daemon would send to the upstream if it were warm. */
   readonly wantedPerS: number;
 }
 
 interface Outcome {
-  /** The most that came in any second. */
+  /** Maximum number of requests in any second. */
   readonly most: number;
-  /** Of the rate, the part that was used. */
+  /** Fraction of the rate that was used. */
   readonly used: number;
 }
 
-/** Whether a daemon that sent before at these times may send now. */
+/** Whether a daemon that has sent at these times may send now. */
 type Rule = (
   daemon: number,
   daemons: number,
@@ -32,12 +32,15 @@
 const countSince = (sentAtMs: readonly number[], fromMs: number): number =>
   sentAtMs.filter((atMs) => atMs > fromMs).length;
 
-/** Whole requests a second, dealt out in an order that all know. */
-const byOrder: Rule = (daemon, daemons, sentAtMs, nowMs) =>
+/** Whole requests per second, assigned by a rank that all daemons agree on. */
+const byRank: Rule = (daemon, daemons, sentAtMs, nowMs) =>
   countSince(sentAtMs, nowMs - WINDOW_MS) <
   getColdShare({ ratePerS: RATE_PER_S, daemons, rank: daemon });
 
-/** An equal part of the rate for each: one request each so many seconds, the first at once. */
+/**
+ * An equal fraction of the rate for each daemon: one request every few seconds, the first one at
+ * once.
+ */
 const byEqualParts: Rule = (_daemon, daemons, sentAtMs, nowMs) =>
   nowMs - (sentAtMs.at(-1) ?? -Infinity) >= (daemons / RATE_PER_S) * WINDOW_MS;
 
@@ -51,7 +54,7 @@
   return atMs;
 };
 
-const play = (fleet: Fleet, rule: Rule, seed: number): Outcome => {
+const simulate = (fleet: Fleet, rule: Rule, seed: number): Outcome => {
   const random = createRandom(seed);
   const sent: number[] = [];
   for (let daemon = 0; daemon < fleet.daemons; daemon += 1) {
@@ -81,24 +84,24 @@
   { daemons: 400, wantedPerS: 4 },
 ];
 
-// Symptom: upstreams end again right after they came back. Sequence: one starts, is cold, and looks idle to
-// all daemons at once; each sends what it has. Cause: each knows only its own part of what it gets.
+// Guards against upstreams that crash right after their return. A returning upstream is cold but
+// looks idle to all daemons at once, and each sends its requests because it only knows its own.
 for (const fleet of FLEETS) {
-  test(`${fleet.daemons} daemons together keep to what a cold upstream takes`, () => {
+  test(`${fleet.daemons} daemons together stay within the rate of a cold upstream`, () => {
     for (const seed of [1, 2, 3]) {
-      const { most, used } = play(fleet, byOrder, seed);
+      const { most, used } = simulate(fleet, byRank, seed);
       assert.ok(most <= RATE_PER_S, `${most} in a second`);
       assert.ok(used > 0.7, `${used} of the rate`);
     }
   });
 }
 
-test('an equal part of a request for each daemon does not keep to it', () => {
-  const { most } = play({ daemons: 400, wantedPerS: 4 }, byEqualParts, 1);
+test('an equal fraction of the rate for each daemon exceeds it', () => {
+  const { most } = simulate({ daemons: 400, wantedPerS: 4 }, byEqualParts, 1);
   assert.ok(most > RATE_PER_S * 2, `${most} in a second`);
 });
 
-test('the parts add up to the rate, whatever the number of daemons', () => {
+test('the shares sum up to the rate for any number of daemons', () => {
   [1, 2, 9, 13, 14, 15, 74, 195, 400].forEach((daemons) => {
     const ranks = Array.from({ length: daemons }, (_, rank) => rank);
     const shares = ranks.map((rank) => getColdShare({ ratePerS: RATE_PER_S, daemons, rank }));
--- a/packages/policy/src/forward/coldShare.ts
+++ b/packages/policy/src/forward/coldShare.ts
@@ -1,26 +1,27 @@
 /**
- * How much of a cold upstream's rate each daemon may use, so that all together keep to it without a word
- * between them. An upstream that comes back looks idle to every daemon at once; what they tell each other of
- * their work is late just then, and one that is cut off or frozen tells nothing.
+ * Divides the rate of a cold upstream among the daemons, without any communication between them. A
+ * returning upstream looks idle to every daemon at once. The daemons' reports about each other are
+ * late at that moment, and a partitioned or frozen daemon reports nothing.
  *
- * The rate is dealt out in whole requests a second, the rest of the division to the daemons that come first
- * in an order of that upstream. Each keeps to its part in any second, so the sum does. With an equal part of
- * a request for each, hundreds of daemons may each send their one request in the same second.
+ * The rate is divided in whole requests per second; the remainder goes to the daemons that come
+ * first in an order specific to the upstream. Each daemon stays within its share in any second, so
+ * the sum does too. With equal fractions of a request, hundreds of daemons could each send their
+ * one request in the same second.
  */
 
 export interface ColdShareInput {
-  /** Requests that the upstream takes in a second, from all daemons. */
+  /** Requests per second that the upstream can take from all daemons. */
   readonly ratePerS: number;
-  /** Daemons known, this one among them; those that may be gone count. */
+  /** Number of known daemons, including this one and those that may have ended. */
   readonly daemons: number;
-  /** How many of them come before this one in the upstream's order. */
+  /** Number of daemons that precede this one in the upstream's order. */
   readonly rank: number;
 }
 
-/** Requests that this daemon may send to the upstream in any second. */
+/** Returns the number of requests that this daemon may send to the upstream in any second. */
 export const getColdShare = ({ ratePerS, daemons, rank }: ColdShareInput): number => {
-  const whole = Math.max(1, Math.floor(ratePerS));
-  const each = Math.floor(whole / daemons);
-  const rest = whole - each * daemons;
-  return each + (rank < rest ? 1 : 0);
+  const wholeRate = Math.max(1, Math.floor(ratePerS));
+  const perDaemon = Math.floor(wholeRate / daemons);
+  const remainder = wholeRate - perDaemon * daemons;
+  return perDaemon + (rank < remainder ? 1 : 0);
 };
--- a/packages/policy/src/forward/decideAttempt.ts
+++ b/packages/policy/src/forward/decideAttempt.ts
@@ -1,35 +1,40 @@
-/** What follows an attempt that gave no answer for the caller. */
+/** Decides what follows an attempt that produced no answer for the caller. */
 
 /**
- * `notSent`: no byte was written. `misdirected`: another upstream has the address now, and did not run it.
- * `refused`: the upstream says that it did not run it. `failed`: it ran and the upstream answered with a
- * failure. `unknown`: sent, and it may have run.
+ * `notSent`: no byte was written. `misdirected`: the address now belongs to another upstream, which
+ * did not run the request. `refused`: the upstream states that it did not run the request.
+ * `failed`: the request ran and the upstream answered with a failure. `unknown`: the request was
+ * sent and may have run.
  */
 export type AttemptOutcome = 'notSent' | 'misdirected' | 'refused' | 'failed' | 'unknown';
 
-/** Whether the attempt reached none of the upstreams that the route allows to be asked. */
+/**
+ * Whether the attempt reached none of the upstreams that the route allows, so that it does not
+ * count against the route's attempts.
+ */
 export const isUnspent = (outcome: AttemptOutcome): boolean =>
   outcome === 'notSent' || outcome === 'misdirected';
 
-export interface AfterAttempt {
+export interface AttemptState {
   readonly outcome: AttemptOutcome;
   readonly isRepeatable: boolean;
-  /** Upstreams that the request was sent to. */
+  /** Number of upstreams that the request was sent to. */
   readonly sent: number;
   readonly maxAttempts: number;
-  /** Attempts that reached no upstream that they were meant for. */
+  /** Number of attempts that did not reach the intended upstream. */
   readonly unsent: number;
   readonly remainingMs: number;
   readonly minAttemptMs: number;
 }
 
 /**
- * Connections that may fail one after the other before the request is given up. In a data centre that is cut
- * off all upstreams of the others refuse at once; with 3, requests ended before a local one was asked.
+ * Maximum number of consecutive connection failures before the request fails. In a partitioned data
+ * centre, all remote upstreams refuse connections at once; with 3, requests failed before a local
+ * upstream was tried.
  */
-const MAX_UNSENT = 8;
+const MAX_UNDELIVERED_ATTEMPTS = 8;
 
-const mayRunAgain: Readonly<Record<AttemptOutcome, (isRepeatable: boolean) => boolean>> = {
+const retryRules: Readonly<Record<AttemptOutcome, (isRepeatable: boolean) => boolean>> = {
   notSent: () => true,
   misdirected: () => true,
   refused: () => true,
@@ -37,9 +42,9 @@
   unknown: (isRepeatable) => isRepeatable,
 };
 
-/** Whether another upstream may be asked; the repeat budget is asked for after this. */
-export const mayTryAgain = (after: AfterAttempt): boolean =>
-  mayRunAgain[after.outcome](after.isRepeatable) &&
-  after.sent < after.maxAttempts &&
-  after.unsent <= MAX_UNSENT &&
-  after.remainingMs > after.minAttemptMs;
+/** Whether another upstream may be tried. The repeat budget is checked afterwards. */
+export const mayTryAgain = (state: AttemptState): boolean =>
+  retryRules[state.outcome](state.isRepeatable) &&
+  state.sent < state.maxAttempts &&
+  state.unsent <= MAX_UNDELIVERED_ATTEMPTS &&
+  state.remainingMs > state.minAttemptMs;
--- a/packages/policy/src/forward/forward.test.ts
+++ b/packages/policy/src/forward/forward.test.ts
@@ -1,21 +1,21 @@
-/** Repeats, roll-out schedule, verdicts on versions, and the cascade. */
+/** Repeats, roll-out schedule, version verdicts and the model cascade. */
 import { createRandom } from '@snipehaven/common';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import {
   RepeatBudget,
   chooseNextModel,
-  getSureConfidence,
+  getConfidenceThreshold,
   getRolloutPlace,
   isVersionBad,
   isVersionProven,
   isVersionProvenAcrossDataCentres,
   mayTryAgain,
   pickTarget,
-  type AfterAttempt,
+  type AttemptState,
 } from './index.js';
 
-const AFTER: AfterAttempt = {
+const AFTER: AttemptState = {
   outcome: 'unknown',
   isRepeatable: false,
   sent: 1,
@@ -25,9 +25,10 @@
   minAttemptMs: 50,
 };
 
-// Symptom: a ticket filed twice. Sequence: the connection resets after the request went out, and it is
-// sent to another upstream. Cause: a reset taken for proof that nothing ran.
-test('what may not be repeated goes on only after proof that it did not run', () => {
+// Guards against duplicate effects, such as a ticket filed twice: the connection resets after the
+// request was sent, the reset is taken as proof that nothing ran, and the request is sent to
+// another upstream.
+test('a request that is not repeatable is retried only after proof that it did not run', () => {
   assert.not(mayTryAgain(AFTER));
   assert.not(mayTryAgain({ ...AFTER, outcome: 'failed' }));
   assert.ok(mayTryAgain({ ...AFTER, outcome: 'refused' }));
@@ -35,7 +36,7 @@
   assert.ok(mayTryAgain({ ...AFTER, isRepeatable: true }));
 });
 
-test('no upstream beyond the route’s attempts, none without time, few that cannot be reached', () => {
+test('retries are bounded by the attempts of the route, the time left and the number of unreachable upstreams', () => {
   const repeatable = { ...AFTER, isRepeatable: true };
   assert.not(mayTryAgain({ ...repeatable, sent: 3 }));
   assert.not(mayTryAgain({ ...repeatable, remainingMs: 20 }));
@@ -43,9 +44,9 @@
   assert.not(mayTryAgain({ ...repeatable, outcome: 'notSent', unsent: 9 }));
 });
 
-// Symptom: a failing service gets each request twice and never recovers. Sequence: all daemons repeat
-// what fails. Cause: repeats that grow with failures instead of with requests.
-test('repeats stay under the ratio of the daemon’s own requests', () => {
+// Guards against a failing service that receives each request twice and never recovers, because the
+// number of repeats grows with the failures instead of with the requests.
+test('repeats stay below the ratio of the daemon’s own requests', () => {
   const budget = new RepeatBudget({ ratio: 0.5, slack: 2, windowMs: 10_000 });
   for (let index = 0; index < 100; index += 1) {
     budget.countFirst(index);
@@ -60,9 +61,9 @@
   assert.ok(budget.tryRepeat('failure', 10_300));
 });
 
-// Symptom: a daemon's memory grows for days. Sequence: a service never fails, so nothing is ever repeated.
-// Cause: requests older than the window were forgotten only when a repeat was asked for.
-test('requests older than the window are forgotten, also while nothing is repeated', () => {
+// Guards against memory growth over days. A service that never fails never repeats, and requests
+// older than the window were only dropped when a repeat was requested.
+test('requests older than the window are dropped, even if nothing is repeated', () => {
   const budget = new RepeatBudget({ ratio: 0.5, slack: 2, windowMs: 1_000 });
   for (let nowMs = 0; nowMs < 100_000; nowMs += 10) {
     budget.countFirst(nowMs);
@@ -70,7 +71,7 @@
   assert.is(budget.size, 100);
 });
 
-test('better answers leave a part of the budget to failures', () => {
+test('repeats for quality reserve part of the budget for failures', () => {
   const budget = new RepeatBudget({ ratio: 0.5, slack: 0, windowMs: 10_000 });
   for (let index = 0; index < 100; index += 1) {
     budget.countFirst(0);
@@ -79,7 +80,7 @@
   assert.ok(budget.tryRepeat('failure', 1));
 });
 
-/** Of an order that was learned of at once. */
+/** Elapsed time of an order that was observed immediately. */
 const after = (elapsedMs: number) => ({ atLeastMs: elapsedMs, atMostMs: elapsedMs });
 
 const countExposure = (durationMs: number, stopsAtMs: number, exposure?: number): number => {
@@ -90,24 +91,24 @@
   return exposed / durationMs;
 };
 
-// The share of a roll-out's requests that a version gets which turns out bad only under load, and is
-// stopped a second after it was moved to half of the requests: under 0.09 of an allowed 0.15.
-test('a version that turns bad late gets a small share of all requests', () => {
+// Exposure to a version that fails only under load and is stopped one second after it got half of
+// the requests: below 0.09 of all requests of the roll-out, where 0.15 are allowed.
+test('a version that starts failing late gets a small share of all requests', () => {
   const halfMs = 24_000 * 0.59;
   assert.ok(countExposure(24_000, halfMs) < 0.05);
   assert.ok(countExposure(24_000, halfMs + 1_000) < 0.09);
 });
 
-// Symptom: a deployment that allows less is exposed beyond it. Sequence: a version turns bad only when all
-// requests are moved to it, and is stopped a second later. Cause: shares that do not follow what is allowed.
-test('where less may be exposed the shares before the last are smaller', () => {
+// Guards against exceeding a smaller exposure limit. This happens when a version fails only once it
+// gets all requests, is stopped one second later, and the shares do not depend on the limit.
+test('with a lower exposure limit all shares except the last are smaller', () => {
   const movedMs = 24_000 * 0.65;
   assert.ok(countExposure(24_000, movedMs + 1_000) > 0.0975);
   assert.ok(countExposure(24_000, movedMs + 1_000, 0.0975) < 0.0975);
   assert.is(getRolloutPlace(after(movedMs), 24_000, 0.0975).newShare, 1);
 });
 
-test('the move is over early enough for long streams, and the shares only grow', () => {
+test('the roll-out moves all requests early enough for long streams, and shares never decrease', () => {
   assert.is(getRolloutPlace(after(24_000 * 0.66), 24_000).newShare, 1);
   assert.is(getRolloutPlace(after(23_000), 24_000).phase, 'closing');
   let last = 0;
@@ -118,14 +119,14 @@
   }
 });
 
-test('a bad version is told from one that fails no more than the old one', () => {
+test('a bad version is distinguished from one that fails no more often than the current one', () => {
   assert.ok(isVersionBad({ answers: 10, bad: 4 }, { answers: 100, bad: 1 }));
   assert.not(isVersionBad({ answers: 10, bad: 4 }, { answers: 100, bad: 30 }), 'both fail');
   assert.not(isVersionBad({ answers: 5, bad: 2 }, { answers: 100, bad: 0 }), 'too few');
   assert.not(isVersionBad({ answers: 200, bad: 4 }, { answers: 100, bad: 0 }), 'too rare');
 });
 
-test('proving a version takes more answers the more of them are bad', () => {
+test('proving a version takes more answers if more of them are bad', () => {
   const present = { answers: 100, bad: 1 };
   assert.not(isVersionProven({ answers: 0, bad: 0 }, present), 'no answers');
   assert.not(isVersionProven({ answers: 5, bad: 0 }, present), 'too few answers');
@@ -168,7 +169,7 @@
   assert.is(pickTarget([], 0.5), '');
 });
 
-test('an unsure answer is asked of the largest model, while an attempt is left', () => {
+test('an uncertain answer is asked again of the largest model while an attempt is left', () => {
   const input = {
     models: ['small', 'middle', 'large'],
     confidence: 20,
@@ -185,9 +186,9 @@
   assert.is(chooseNextModel(input, 'large'), undefined);
 });
 
-test('the more waits, the less an unsure answer is asked again, and less urgent ones first', () => {
+test('the confidence threshold decreases with the queueing time, faster for less urgent requests', () => {
   const at = (waitMs: number, priority: number) =>
-    getSureConfidence({
+    getConfidenceThreshold({
       waitMs,
       meanWaitMs: waitMs,
       expectedStartMs: waitMs + 50,
@@ -203,9 +204,10 @@
   assert.is(at(2_500, 0), 0);
 });
 
-// Symptom: large questions get wrong answers on a calm day. Sequence: reading the prompt takes a third of the
-// time in which its answer is due, which looked like a load. Cause: own reading counted as others' wait.
-test('a long prompt that will be read in time is asked again like any other', () => {
+// Guards against uncertain answers to large questions while the load is low. Prefill takes a third
+// of the time in which the answer is due, which is mistaken for load if the request's own prefill
+// counts as queueing.
+test('a long prompt that will be prefilled in time is asked again like any other', () => {
   const input = {
     waitMs: 100,
     meanWaitMs: 100,
@@ -213,16 +215,17 @@
     onTimeLeftMs: 2_000,
     priority: 0,
   };
-  assert.is(getSureConfidence(input), 60);
-  assert.is(getSureConfidence({ ...input, expectedStartMs: 1_400 }), 60);
-  assert.is(getSureConfidence({ ...input, expectedStartMs: 2_600 }), 0);
+  assert.is(getConfidenceThreshold(input), 60);
+  assert.is(getConfidenceThreshold({ ...input, expectedStartMs: 1_400 }), 60);
+  assert.is(getConfidenceThreshold({ ...input, expectedStartMs: 2_600 }), 0);
 });
 
 /**
- * Plays a load on one engine: 44 in 100 questions are too hard for the small model, and its confidence says
- * so in most cases. Answers count 1 in time, 0.3 late, a twentieth of it where wrong.
+ * Simulates one engine under load. 44 of 100 questions are too hard for the small model, and in
+ * most cases its confidence shows it. An answer is worth 1 in time, 0.3 if late, and a twentieth of
+ * that if wrong.
  */
-const playCascade = (followsLoad: boolean): number => {
+const simulateCascade = (followsLoad: boolean): number => {
   const random = createRandom(5);
   const targetMs = 2_000;
   let freeAtMs = 0;
@@ -241,7 +244,7 @@
       onTimeLeftMs: targetMs,
       priority: 0,
     };
-    const asksLarge = confidence < getSureConfidence(input);
+    const asksLarge = confidence < getConfidenceThreshold(input);
     if (asksLarge) {
       freeAtMs += 80;
     }
@@ -251,12 +254,12 @@
   return credit / count;
 };
 
-// Credit of a question under a load that the large model can't take whole: 0.35 with a fixed confidence, 0.96
-// with one that follows the load.
-test('following the load keeps answers in time when the large model cannot take all', () => {
+// Mean value per question under a load that the large model cannot serve completely: 0.35 with a
+// fixed threshold, 0.96 with one that follows the load.
+test('a threshold that follows the load keeps answers in time when the large model is overloaded', () => {
   assert.ok(
-    playCascade(true) > playCascade(false) * 1.5,
-    `${playCascade(true)} ${playCascade(false)}`,
+    simulateCascade(true) > simulateCascade(false) * 1.5,
+    `${simulateCascade(true)} ${simulateCascade(false)}`,
   );
 });
 
--- a/packages/policy/src/forward/index.ts
+++ b/packages/policy/src/forward/index.ts
@@ -3,7 +3,7 @@
 export * from './coldShare.js';
 export * from './decideAttempt.js';
 export * from './judgeVersion.js';
-export * from './lanes.js';
+export * from './modelPartitions.js';
 export * from './modelDemand.js';
 export * from './pickTarget.js';
 export * from './repeatBudget.js';
--- a/packages/policy/src/forward/modelDemand.ts
+++ b/packages/policy/src/forward/modelDemand.ts
@@ -1,19 +1,20 @@
-/** Which part of a service's upstreams each of its models needs, learned from what was placed. */
-import type { Lane } from './lanes.js';
+/** Learns from the placed work which part of a service's upstreams each of its models needs. */
+import type { Lane } from './modelPartitions.js';
 
 /**
- * Older work counts this much less with each placing: some thirty say most, seconds of a busy daemon.
+ * Decay per placement: about the last thirty placements dominate, which is a few seconds of a busy
+ * daemon.
  */
-const FADING = 0.97;
+const DECAY_FACTOR = 0.97;
 
 /**
- * Work of the smaller models counts this much more than its tokens: each caller waits for a first answer
- * while second ones can be left out, and a first answer's prompt is read between the tokens that others
- * write.
+ * Weight of the smaller models' work relative to its tokens. Every caller waits for a first answer,
+ * whereas second answers can be omitted, and the prompts of first answers are prefilled between the
+ * tokens of other answers.
  */
 const FIRST_ANSWER_WEIGHT = 2.5;
 
-/** Work placed for a model. */
+/** Work that was placed for a model. */
 export interface ModelWork {
   readonly model: string;
   readonly work: number;
@@ -25,44 +26,48 @@
   readonly #work = new Map<string, number>();
 
   /**
-   * `getOthers`: what other daemons placed. Lanes drawn by each daemon's last thirty placings differ
-   * from daemon to daemon, and prompt parts are read at as many homes.
+   * `getOthers` returns the work placed by other daemons. If each daemon derived partitions from
+   * its own last thirty placements, the partitions would differ between daemons, and prompt parts
+   * would be prefilled at as many owners.
    */
   constructor(getOthers: () => readonly ModelWork[] = () => []) {
     this.#getOthers = getOthers;
   }
 
-  /** What this daemon placed lately. */
+  /** Work that this daemon placed recently. */
   get own(): readonly ModelWork[] {
     return [...this.#work].map(([model, work]) => ({ model, work }));
   }
 
-  /** Work was placed for a model. */
+  /** Records that work was placed for a model. */
   note(model: string, work: number): void {
     for (const [name, sum] of this.#work) {
-      this.#work.set(name, sum * FADING);
+      this.#work.set(name, sum * DECAY_FACTOR);
     }
     this.#work.set(model, (this.#work.get(model) ?? 0) + work);
   }
 
   /**
-   * The model's part of the line of upstreams, the largest model first; undefined when none is known.
+   * Returns the model's range in the order of upstreams, which starts with the largest model.
+   * Undefined if no work of the model is known.
    */
   findLane(smallestFirst: readonly string[], model: string): Lane | undefined {
     const largest = smallestFirst.at(-1);
-    const sums = this.#sumUp();
-    const weigh = (name: string): number =>
+    const sums = this.#sumWork();
+    const getWeightedWork = (name: string): number =>
       (sums.get(name) ?? 0) * (name === largest ? 1 : FIRST_ANSWER_WEIGHT);
-    const total = smallestFirst.reduce((sum, name) => sum + weigh(name), 0);
-    const at = smallestFirst.indexOf(model);
-    if (total === 0 || at < 0 || weigh(model) === 0) {
+    const total = smallestFirst.reduce((sum, name) => sum + getWeightedWork(name), 0);
+    const index = smallestFirst.indexOf(model);
+    if (total === 0 || index < 0 || getWeightedWork(model) === 0) {
       return undefined;
     }
-    const before = smallestFirst.slice(at + 1).reduce((sum, name) => sum + weigh(name), 0);
-    return { from: before / total, to: (before + weigh(model)) / total };
+    const before = smallestFirst
+      .slice(index + 1)
+      .reduce((sum, name) => sum + getWeightedWork(name), 0);
+    return { from: before / total, to: (before + getWeightedWork(model)) / total };
   }
 
-  #sumUp(): ReadonlyMap<string, number> {
+  #sumWork(): ReadonlyMap<string, number> {
     const sums = new Map(this.#work);
     this.#getOthers().forEach(({ model, work }) => sums.set(model, (sums.get(model) ?? 0) + work));
     return sums;
--- a/packages/policy/src/forward/pickTarget.ts
+++ b/packages/policy/src/forward/pickTarget.ts
@@ -5,7 +5,7 @@
   readonly weight: number;
 }
 
-/** The service for a draw that is uniform in [0, 1); empty when there is no target. */
+/** Returns the service for a value drawn uniformly from [0, 1); empty if there are no targets. */
 export const pickTarget = (targets: readonly WeightedTarget[], draw: number): string => {
   const total = targets.reduce((sum, { weight }) => sum + weight, 0);
   let left = draw * total;
--- a/packages/policy/src/forward/repeatBudget.ts
+++ b/packages/policy/src/forward/repeatBudget.ts
@@ -1,33 +1,40 @@
 /**
- * This daemon's part of the repeats that a service gets. All daemons share one budget, a ratio of the
- * requests and a slack; each keeps to the ratio of its own requests, so that the sum holds without
- * asking the others. Guards against a retry storm: a failing service that gets each request twice.
+ * This daemon's part of the budget for a service's repeats. All daemons share one budget: a ratio
+ * of the requests plus a constant slack. Each daemon stays within the ratio of its own requests, so
+ * the total does too, without communication. Prevents retry storms, in which a failing service
+ * receives each request twice.
  */
 
 export interface RepeatBudgetSettings {
   readonly ratio: number;
-  /** Repeats allowed beside the ratio. */
+  /** Constant number of repeats allowed in addition to the ratio. */
   readonly slack: number;
   readonly windowMs: number;
 }
 
-interface Count {
+interface CountedRequest {
   readonly atMs: number;
   readonly isRepeat: boolean;
 }
 
 export type RepeatPurpose = 'failure' | 'quality';
 
-/** Part of the ratio that one daemon uses: windows slide, and the requests of the sum are counted apart. */
-const OWN_PART = 0.92;
+/**
+ * Fraction of the ratio that a daemon uses. The margin covers the sliding window and the fact that
+ * the total's requests are counted separately.
+ */
+const SAFETY_FACTOR = 0.92;
 
-/** Repeats for a better answer leave the rest of the budget to repeats after failures. */
-const QUALITY_PART = 0.88;
+/**
+ * Fraction of the budget available for repeats that seek a better answer; the rest is reserved for
+ * repeats after failures.
+ */
+const QUALITY_FRACTION = 0.88;
 
 export class RepeatBudget {
   readonly #settings: RepeatBudgetSettings;
 
-  #counts: Count[] = [];
+  #counts: CountedRequest[] = [];
 
   #repeats = 0;
 
@@ -35,7 +42,7 @@
     this.#settings = settings;
   }
 
-  /** Requests and repeats remembered. */
+  /** Number of requests and repeats in the window. */
   get size(): number {
     return this.#counts.length;
   }
@@ -45,12 +52,12 @@
     this.#counts.push({ atMs: nowMs, isRepeat: false });
   }
 
-  /** Takes one repeat; false when none is left. */
+  /** Takes one repeat from the budget; returns false if none is left. */
   tryRepeat(purpose: RepeatPurpose, nowMs: number): boolean {
     this.#dropOld(nowMs);
-    const firsts = this.#counts.length - this.#repeats;
-    const part = purpose === 'quality' ? QUALITY_PART : 1;
-    const allowed = (firsts * this.#settings.ratio * OWN_PART + this.#settings.slack) * part;
+    const requests = this.#counts.length - this.#repeats;
+    const part = purpose === 'quality' ? QUALITY_FRACTION : 1;
+    const allowed = (requests * this.#settings.ratio * SAFETY_FACTOR + this.#settings.slack) * part;
     if (this.#repeats + 1 > allowed) {
       return false;
     }
--- a/packages/policy/src/forward/sharedLearning.test.ts
+++ b/packages/policy/src/forward/sharedLearning.test.ts
@@ -1,25 +1,31 @@
-/** What a daemon believes of engines and models by its own answers and by what others learned. */
+/** Estimates of engines and models from a daemon's own answers and from those of other daemons. */
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { ModelDemand } from './modelDemand.js';
 import { WorkPace, type PaceSum } from './workPace.js';
 
-/** What is learned from so many answers, each of some work that took some ms. */
-const teach = (answers: number, draw: (index: number) => readonly [number, number]): PaceSum => {
+/**
+ * Returns what is learned from the given number of answers, each with an amount of work and a
+ * duration in ms.
+ */
+const learnFrom = (
+  answers: number,
+  draw: (index: number) => readonly [number, number],
+): PaceSum => {
   const pace = new WorkPace();
   Array.from({ length: answers }, (_, index) => pace.note(...draw(index)));
   return pace.own;
 };
 
-test('a daemon that has seen no answer believes the others', () => {
+test('a daemon without answers of its own uses those of other daemons', () => {
   const alone = new WorkPace();
-  const told = new WorkPace(() => teach(100, () => [5_000, 100]));
+  const informed = new WorkPace(() => learnFrom(100, () => [5_000, 100]));
   assert.is(alone.estimateWork(100), 2_000);
-  assert.ok(told.estimateWork(100) > 4_900);
-  assert.ok(told.estimateMs(5_000) < 102);
+  assert.ok(informed.estimateWork(100) > 4_900);
+  assert.ok(informed.estimateMs(5_000) < 102);
 });
 
-test('without others a daemon learns by its own answers', () => {
+test('without other daemons a daemon learns from its own answers', () => {
   const pace = new WorkPace();
   for (let answers = 0; answers < 300; answers += 1) {
     pace.note(5_000, 100);
@@ -28,26 +34,26 @@
   assert.ok(pace.own.work > 0);
 });
 
-// Symptom: the longest prompts get the smallest model's answer, though the largest one's would be in time.
-// Sequence: nearly all answers are short, and take a time that is not their work's. Cause: the mean pace of
-// all was taken for that of a long one.
-test('when a long prompt begins is not judged by what short ones wait for', () => {
+// Guards against answering the longest prompts with the smallest model although the largest one
+// would be in time. This happens when the mean rate of all answers is applied to a long prompt:
+// nearly all answers are short, and their duration is not determined by their work.
+test('the start of a long prompt is not estimated from the fixed delay of short ones', () => {
   const sizes = [50, 100, 150, 800, 12_000];
   const draw = (index: number): readonly [number, number] => {
     const work = sizes[index % sizes.length] ?? 0;
     return [work, 60 + work / 30];
   };
-  const shared = new WorkPace(() => teach(200, draw));
+  const shared = new WorkPace(() => learnFrom(200, draw));
   for (const work of [0, 1_000, 12_000, 24_000]) {
     const expectedMs = 60 + work / 30;
     const startMs = shared.estimateStartMs(work);
     assert.ok(Math.abs(startMs - expectedMs) < 0.1 * expectedMs + 5, `${work}: ${startMs}`);
   }
-  const alike = new WorkPace(() => teach(200, () => [1_000, 50]));
+  const alike = new WorkPace(() => learnFrom(200, () => [1_000, 50]));
   assert.ok(Math.abs(alike.estimateStartMs(1_000) - 50) < 3, `${alike.estimateStartMs(1_000)}`);
 });
 
-test('no answers, however they come, make a start that is negative or endless', () => {
+test('no sequence of answers yields a negative or infinite start time', () => {
   const draws: ((index: number) => readonly [number, number])[] = [
     (index) => [index, 1_000 - index],
     () => [0, 30],
@@ -55,7 +61,7 @@
     (index) => [1e6 * (index % 3), 1],
   ];
   for (const draw of draws) {
-    const pace = new WorkPace(() => teach(300, draw));
+    const pace = new WorkPace(() => learnFrom(300, draw));
     for (const work of [0, 500, 50_000]) {
       const startMs = pace.estimateStartMs(work);
       assert.ok(Number.isFinite(startMs) && startMs >= 0, `${startMs}`);
@@ -63,7 +69,7 @@
   }
 });
 
-test('lanes follow the demand that all daemons see', () => {
+test('partitions follow the demand observed by all daemons', () => {
   const others = [
     { model: 'small', work: 1_000 },
     { model: 'large', work: 2_500 },
--- a/packages/policy/src/forward/workPace.ts
+++ b/packages/policy/src/forward/workPace.ts
@@ -1,33 +1,38 @@
-/** How fast a service's upstreams get through work, learned from how long answers took to begin. */
+/** Estimates how fast a service's upstreams process work, from the time until answers start. */
 
-/** Answers that began, added up: how much work there was until then, and how long it took. */
+/** Sums over started answers: the work up to the start, and the time it took. */
 export interface PaceSum {
   readonly work: number;
   readonly tookMs: number;
   readonly answers: number;
-  /** Of each answer's work with itself, and with its time in ms. */
+  /** Sums of each answer's squared work, and of its work times its duration in ms. */
   readonly workSquares: number;
   readonly workTimes: number;
 }
 
-/** An answer's beginning: a time that each takes, whatever its work, and a time for each unit of work. */
-interface StartLine {
+/**
+ * Linear model of the time until an answer starts: a constant part plus a time per unit of work.
+ */
+interface StartTimeModel {
   readonly baseMs: number;
   readonly msPerWork: number;
 }
 
-/** Older answers count this much less with each new one: some fifty say most. */
-const FADING = 0.98;
+/** Decay per answer: about the last fifty answers dominate. */
+const DECAY_FACTOR = 0.98;
 
-/** Before anything is learned: an answer with no work ahead, and one of a slow engine. */
-const FIRST_BASE_MS = 30;
-const FIRST_WORK = 2_000;
-const FIRST_MS = 130;
+/** Prior before anything is learned: one answer without work ahead and one of a slow engine. */
+const PRIOR_BASE_MS = 30;
+const PRIOR_WORK = 2_000;
+const PRIOR_WORK_MS = 130;
 
-/** Works that differ less than this, as a part of their squares, say nothing of what a unit takes. */
-const MIN_SPREAD = 0.01;
+/**
+ * If the variance of the work is below this fraction of its squares, the time per unit cannot be
+ * estimated.
+ */
+const MIN_RELATIVE_SPREAD = 0.01;
 
-const NOTHING: PaceSum = { work: 0, tookMs: 0, answers: 0, workSquares: 0, workTimes: 0 };
+const EMPTY_SUMS: PaceSum = { work: 0, tookMs: 0, answers: 0, workSquares: 0, workTimes: 0 };
 
 const addAnswer = (sum: PaceSum, work: number, tookMs: number, share = 1): PaceSum => ({
   work: sum.work + share * work,
@@ -45,76 +50,79 @@
   workTimes: a.workTimes + b.workTimes,
 });
 
-const fade = (sum: PaceSum): PaceSum => ({
-  work: sum.work * FADING,
-  tookMs: sum.tookMs * FADING,
-  answers: sum.answers * FADING,
-  workSquares: sum.workSquares * FADING,
-  workTimes: sum.workTimes * FADING,
+const decay = (sum: PaceSum): PaceSum => ({
+  work: sum.work * DECAY_FACTOR,
+  tookMs: sum.tookMs * DECAY_FACTOR,
+  answers: sum.answers * DECAY_FACTOR,
+  workSquares: sum.workSquares * DECAY_FACTOR,
+  workTimes: sum.workTimes * DECAY_FACTOR,
 });
 
 /**
- * The line through the answers by least squares. One that would say that work takes no time, or that nothing
- * is done before the time begins, is replaced by the one through the origin.
+ * Fits the line by least squares. If it has no positive slope or a negative intercept, it is
+ * replaced by the line through the origin.
  */
-const fitLine = ({ work, tookMs, answers, workSquares, workTimes }: PaceSum): StartLine => {
+const fitLine = ({ work, tookMs, answers, workSquares, workTimes }: PaceSum): StartTimeModel => {
   const spread = answers * workSquares - work * work;
   const msPerWork = (answers * workTimes - work * tookMs) / spread;
   const baseMs = (tookMs - msPerWork * work) / answers;
-  const isLine = spread > MIN_SPREAD * answers * workSquares && msPerWork > 0 && baseMs >= 0;
+  const isLine =
+    spread > MIN_RELATIVE_SPREAD * answers * workSquares && msPerWork > 0 && baseMs >= 0;
   return isLine ? { baseMs, msPerWork } : { baseMs: 0, msPerWork: tookMs / work };
 };
 
 export class WorkPace {
   readonly #getOthers: () => PaceSum | undefined;
 
-  /** What is left of the first guess. */
-  #firstShare = 1;
+  /** Remaining weight of the prior. */
+  #priorWeight = 1;
 
-  #own: PaceSum = NOTHING;
+  #own: PaceSum = EMPTY_SUMS;
 
   /**
-   * `getOthers`: what other daemons learned. A daemon that knows its own answers only takes long
-   * prompts for slower than they are, until it has seen some; in a large fleet that takes long.
+   * `getOthers` returns the sums of other daemons. A daemon that only knows its own answers
+   * overestimates the duration of long prompts until it has seen some, which takes long in a large
+   * fleet.
    */
   constructor(getOthers: () => PaceSum | undefined = () => undefined) {
     this.#getOthers = getOthers;
   }
 
-  /** What this daemon learned itself. */
+  /** Sums of this daemon's own answers. */
   get own(): PaceSum {
     return this.#own;
   }
 
-  /** An answer began after the time, with this much work ahead of its beginning. */
+  /** Records an answer that started after the given time and had this much work ahead of it. */
   note(work: number, tookMs: number): void {
-    this.#own = addAnswer(fade(this.#own), work, Math.max(1, tookMs));
-    this.#firstShare *= FADING;
+    this.#own = addAnswer(decay(this.#own), work, Math.max(1, tookMs));
+    this.#priorWeight *= DECAY_FACTOR;
   }
 
-  /** What is done in this time. */
+  /** Returns the work that is processed in this time. */
   estimateWork(ms: number): number {
-    return ms / this.#line.msPerWork;
+    return ms / this.#model.msPerWork;
   }
 
-  /** Until work of this size is done, once it has begun. */
+  /** Returns the time to process work of this size, once it has started. */
   estimateMs(work: number): number {
-    return work * this.#line.msPerWork;
+    return work * this.#model.msPerWork;
   }
 
-  /** Until an answer begins that has this much work ahead. */
+  /** Returns the time until an answer starts that has this much work ahead. */
   estimateStartMs(work: number): number {
-    const { baseMs, msPerWork } = this.#line;
+    const { baseMs, msPerWork } = this.#model;
     return baseMs + work * msPerWork;
   }
 
   /**
-   * Not the mean pace of all answers: most are short, and what they wait for is no work of theirs. By it a
-   * long prompt, or what waits, seems to take several times as long as it does.
+   * Not the mean rate of all answers: most are short, and their delay is not caused by their work.
+   * By the mean rate, a long prompt or a backlog would seem to take several times as long as it
+   * does.
    */
-  get #line(): StartLine {
-    const known = addPaces(this.#own, this.#getOthers() ?? NOTHING);
-    const guessed = addAnswer(known, 0, FIRST_BASE_MS, this.#firstShare);
-    return fitLine(addAnswer(guessed, FIRST_WORK, FIRST_MS, this.#firstShare));
+  get #model(): StartTimeModel {
+    const known = addPaces(this.#own, this.#getOthers() ?? EMPTY_SUMS);
+    const withPrior = addAnswer(known, 0, PRIOR_BASE_MS, this.#priorWeight);
+    return fitLine(addAnswer(withPrior, PRIOR_WORK, PRIOR_WORK_MS, this.#priorWeight));
   }
 }
--- a/packages/policy/src/index.ts
+++ b/packages/policy/src/index.ts
@@ -1,4 +1,4 @@
-/** Pure decisions of the router: plain readonly data in and out, no I/O, no timers. */
+/** Routing decisions as pure functions: plain readonly data in and out, no I/O and no timers. */
 export * from './crashes/index.js';
 export * from './evidence/index.js';
 export * from './forward/index.js';
--- a/packages/policy/src/limits/admission.test.ts
+++ b/packages/policy/src/limits/admission.test.ts
@@ -1,4 +1,4 @@
-/** Admission: fairness between teams, bounds, and final answers at once. */
+/** Admission control: fairness between teams, bounds, and immediate refusals. */
 import { asId, createRandom } from '@snipehaven/common';
 import type { TeamId } from '@snipehaven/common';
 import fc from 'fast-check';
@@ -44,7 +44,7 @@
   return { state, refusedIds };
 };
 
-test('backlogged teams get slots by their weights, within one request each', () => {
+test('backlogged teams get slots in proportion to their weights, within one request each', () => {
   fc.assert(
     fc.property(
       fc.array(fc.integer({ min: 1, max: 4 }), { minLength: 2, maxLength: 4 }),
@@ -74,7 +74,7 @@
   );
 });
 
-test('a full queue sheds the lowest priority of the team that waits for most', () => {
+test('a full queue sheds the lowest-priority request of the team with the longest queue', () => {
   const flood = Array.from({ length: 24 }, (_, id) =>
     createRequest(id, 'large', { priority: id === 10 ? 1 : 5 }),
   );
@@ -84,7 +84,7 @@
   assert.not.ok(refusedIds.includes('100'));
 });
 
-test('the last free slots are kept from the largest team', () => {
+test('the last free slots are reserved for smaller teams', () => {
   const settings = { maxRunning: 16, maxQueued: 20 };
   const random = createRandom(1);
   let state = createAdmission(0);
@@ -101,10 +101,10 @@
   assert.is(offer(100, 'small'), 'run');
 });
 
-// Symptom: a caller waits and then hears that it came too late. Sequence: the queue drains slower
-// than at admission, or the wait is hopeless from the start. Cause: nobody looks at the expected
-// wait until the deadline.
-test('who can not be served in time is refused at once', () => {
+// Guards against callers that wait in the queue and are refused only at their deadline. This
+// happens when the queue drains more slowly than at admission, or could never be drained in time,
+// and the expected wait is not checked before the deadline.
+test('a request that cannot be served in time is refused at once', () => {
   const random = createRandom(1);
   const { state } = offerAll(Array.from({ length: 10 }, (_, id) => createRequest(id, 'team')));
   const slow = { ...state, serviceMs: 4_000 };
@@ -122,7 +122,7 @@
   assert.is(next.state.queued + next.refused.length + (next.next ? 1 : 0), hopeless.queued);
 });
 
-test('running and queued stay within their bounds and no request is lost', () => {
+test('running and queued requests stay within their limits and none is lost', () => {
   fc.assert(
     fc.property(fc.array(fc.tuple(fc.nat(3), fc.nat(9)), { maxLength: 60 }), (offers) => {
       const requests = offers.map(([team, priority], id) =>
@@ -136,7 +136,7 @@
   );
 });
 
-test('returning callers are spread over the time that their number needs', () => {
+test('retry delays are spread in proportion to the number of refused callers', () => {
   const random = createRandom(7);
   const draw = () =>
     getRetryAfterMs({ queued: 20, drainPerSecond: 10, recentRefusals: 100, random });
@@ -145,7 +145,7 @@
   assert.ok(Math.max(...times) - Math.min(...times) > 15_000);
 });
 
-test('a token bucket never gives more than its burst and rate, also after a cut limit', () => {
+test('a token bucket never exceeds its burst and rate, even after the limit was lowered', () => {
   const limit = { ratePerSecond: 10, burst: 5 };
   let state = createTokenBucket(limit, 0);
   let taken = 0;
--- a/packages/policy/src/limits/chooseAdmission.ts
+++ b/packages/policy/src/limits/chooseAdmission.ts
@@ -1,9 +1,9 @@
-/** Admits, queues or refuses requests; whoever is refused gets the final answer at once. */
+/** Admits, queues or refuses requests. A refused caller gets its final answer at once. */
 import type { Random } from '@snipehaven/common';
 import { SERVICE_TIME_WEIGHT } from './constants.js';
 import { dequeue, enqueue, releaseSlot, removeRequests } from './fairOrder.js';
 import { getExpectedWaitMs } from './fairSchedule.js';
-import { findDisplaceable, refuse, shedTooLate } from './shedRequests.js';
+import { findRequestToEvict, refuse, shedTooLate } from './shedRequests.js';
 import type {
   AdmissionNext,
   AdmissionRefusal,
@@ -13,7 +13,7 @@
   AdmissionState,
 } from './types.js';
 
-/** Nothing running, nothing waiting. */
+/** Creates the state of a daemon without running or queued requests. */
 export const createAdmission = (nowMs: number): AdmissionState => ({
   running: 0,
   queued: 0,
@@ -24,13 +24,16 @@
   refusalsAtMs: nowMs,
 });
 
-const findRefusal = (
+const findRefusalOf = (
   refusals: readonly AdmissionRefusal[],
   { id }: AdmissionRequest,
 ): AdmissionRefusal | undefined => refusals.find(({ request }) => request.id === id);
 
-/** Gives up whatever has no time or no room, the new request perhaps among it. */
-const shed = (
+/**
+ * Sheds queued requests that cannot meet their deadline, and one more if the queue is full. The new
+ * request may be among them.
+ */
+const shedExcess = (
   state: AdmissionState,
   settings: AdmissionSettings,
   nowMs: number,
@@ -40,7 +43,7 @@
   if (late.state.queued <= settings.maxQueued) {
     return late;
   }
-  const victim = findDisplaceable(late.state) as AdmissionRequest;
+  const victim = findRequestToEvict(late.state) as AdmissionRequest;
   const without = removeRequests(late.state, new Set([victim.id]));
   const result = refuse(without, settings, victim, 'queueFull', nowMs, random);
   return { state: result.state, refused: [...late.refused, result.refusal] };
@@ -53,8 +56,8 @@
   nowMs: number,
   random: Random,
 ): AdmissionResult => {
-  const { state: left, refused } = shed(enqueue(state, request), settings, nowMs, random);
-  const own = findRefusal(refused, request);
+  const { state: left, refused } = shedExcess(enqueue(state, request), settings, nowMs, random);
+  const own = findRefusalOf(refused, request);
   if (own) {
     const { reason, retryAfterMs } = own;
     const displaced = refused.filter((refusal) => refusal !== own);
@@ -64,7 +67,10 @@
   return { state: left, decision: { kind: 'queue', expectedWaitMs }, displaced: refused };
 };
 
-/** Runs the new request if it is its turn: the others in line may lack a right to the free slot. */
+/**
+ * Runs the new request if it is first in line. Others may be queued because their teams are not
+ * eligible for the free slot.
+ */
 const runIfNext = (
   state: AdmissionState,
   { maxRunning }: AdmissionSettings,
@@ -74,7 +80,7 @@
   return taken?.request.id === id ? taken.state : undefined;
 };
 
-/** Decides on a request that has just come. */
+/** Decides about a new request. */
 export const chooseAdmission = (
   state: AdmissionState,
   settings: AdmissionSettings,
@@ -88,7 +94,7 @@
     : queueOrRefuse(state, settings, request, nowMs, random);
 };
 
-/** The next request to run, if a slot is free. Call until `next` is left out. */
+/** Dequeues the next request if a slot is free. Call repeatedly until `next` is absent. */
 export const takeNext = (
   state: AdmissionState,
   settings: AdmissionSettings,
@@ -103,7 +109,7 @@
   return taken ? { state: taken.state, next: taken.request, refused } : { state: left, refused };
 };
 
-/** A request has ended and held its slot for `serviceMs`. */
+/** Releases the slot of a completed request that occupied it for `serviceMs`. */
 export const recordCompletion = (
   state: AdmissionState,
   { team, cost }: Pick<AdmissionRequest, 'team' | 'cost'>,
@@ -117,6 +123,6 @@
   return { ...releaseSlot(state, team), serviceMs: mean };
 };
 
-/** A waiting request's caller has gone away. */
+/** Removes a queued request whose caller has disconnected. */
 export const cancelQueued = (state: AdmissionState, id: string): AdmissionState =>
   removeRequests(state, new Set([id]));
--- a/packages/policy/src/limits/constants.ts
+++ b/packages/policy/src/limits/constants.ts
@@ -1,27 +1,32 @@
-/** Settings of limits and admission; figures in POLICY-UPSTREAMS.md. */
+/** Constants of limits and admission control. POLICY-UPSTREAMS.md lists the figures. */
 
-/** How long a granted share lasts. */
+/** Lease duration of a granted share. */
 export const SHARE_TTL_MS = 6_000;
-/** A member asks again after this time. */
+/** Interval at which a member renews its share. */
 export const SHARE_REQUEST_INTERVAL_MS = 2_000;
-/** A member that got no answer for so long falls back to its fixed share. */
-export const SHARE_FALL_BACK_MS = 18_000;
-/** Clocks may run apart by this share; the holder's side makes up for it. */
+/** A member without an answer for this long falls back to its fixed share. */
+export const SHARE_FALLBACK_MS = 18_000;
+/** Maximum relative drift between two clocks; the holder's side allows for it. */
 export const SHARE_CLOCK_DRIFT = 0.01;
-/** A silent member's place goes back to the unheard ones after this time. */
+/**
+ * A member that has sent no request for this long is removed, and its fixed share is reserved again
+ * along with those of the members that have not reported in this term.
+ */
 export const SHARE_FORGET_MS = 120_000;
 
-/** Weight of a new sample in the moving average of the service time. */
+/** Smoothing factor of the moving average of the service time. */
 export const SERVICE_TIME_WEIGHT = 0.05;
-/** Refusals fade to 1/e in this time. */
-export const REFUSAL_FADE_MS = 5_000;
+/** Time constant of the exponential decay of the refusal count. */
+export const REFUSAL_DECAY_MS = 5_000;
 
-/** Returning callers may use up this share of the drain rate. */
-export const RETURN_SHARE = 0.5;
+/** Fraction of the drain rate that returning callers may use. */
+export const RETRY_DRAIN_FRACTION = 0.5;
 export const RETRY_AFTER_MIN_MS = 1_000;
 export const RETRY_AFTER_MAX_MS = 60_000;
 
-/** Slots kept from the largest team, in square roots of the slots. */
-export const RESERVED_DEVIATIONS = 0.5;
-/** A request may spend this share of its time until the deadline waiting in line. */
-export const MAX_WAIT_SHARE = 0.1;
+/**
+ * Number of slots reserved for the smaller teams, as a multiple of the square root of all slots.
+ */
+export const RESERVED_SLOTS_FACTOR = 0.5;
+/** Fraction of its time until the deadline that a request may spend in the queue. */
+export const MAX_WAIT_FRACTION = 0.1;
--- a/packages/policy/src/limits/divideLimit.ts
+++ b/packages/policy/src/limits/divideLimit.ts
@@ -6,7 +6,7 @@
   readonly demand: number;
 }
 
-/** Max-min fairness: small demands are met whole, the large ones share the rest equally. */
+/** Max-min fairness: small demands are met in full, larger ones share the remainder equally. */
 const fillDemands = (total: number, claims: readonly Claim[]): Map<string, number> => {
   const shares = new Map<string, number>();
   let left = total;
@@ -21,8 +21,8 @@
 };
 
 /**
- * Shares that follow demand and sum up to no more than `total`. What nobody asks for is spread
- * equally, so that a member has room for its next burst before the allocator hears of it.
+ * Returns shares that follow demand and whose sum does not exceed `total`. Unclaimed capacity is
+ * divided equally, so that a member can absorb its next burst before the allocator learns of it.
  */
 export const divideLimit = (total: number, demands: AmountsByMember): AmountsByMember => {
   const claims = Object.entries(demands).map(([member, demand]) => ({ member, demand }));
--- a/packages/policy/src/limits/fairOrder.ts
+++ b/packages/policy/src/limits/fairOrder.ts
@@ -1,10 +1,11 @@
 /**
- * Start-time fair queueing between teams. Each team's next request carries a start tag in virtual
- * time; the smallest goes first and moves its team's tag on by cost / weight. A team that floods
- * moves its own tag ahead and waits behind everyone else; one that was idle starts at the present
- * virtual time and can't save up claims. Within a team the higher priority goes first.
+ * Start-time fair queueing between teams. Each team's next request has a start tag in virtual time.
+ * The request with the smallest tag runs first and advances its team's tag by cost / weight. A team
+ * that floods the queue advances its own tag and waits behind the others; a team that was idle
+ * starts at the current virtual time, so that it cannot accumulate credit. Within a team, higher
+ * priority goes first.
  */
-import { RESERVED_DEVIATIONS } from './constants.js';
+import { RESERVED_SLOTS_FACTOR } from './constants.js';
 import type { AdmissionRequest, AdmissionState, TeamQueue } from './types.js';
 
 const insertByPriority = (
@@ -16,7 +17,7 @@
   return [...waiting.slice(0, at), request, ...waiting.slice(at)];
 };
 
-/** A team's queue; a team without requests in line starts at the present virtual time. */
+/** Returns a team's queue; one without queued requests starts at the current virtual time. */
 const getTeamQueue = (state: AdmissionState, { team, weight }: AdmissionRequest): TeamQueue => {
   const known = state.teams[team];
   const startTag = Math.max(state.virtualTime, known?.startTag ?? 0);
@@ -25,7 +26,6 @@
     : { weight, running: known?.running ?? 0, startTag, waiting: [] };
 };
 
-/** Adds a request to its team's queue. */
 export const enqueue = (state: AdmissionState, request: AdmissionRequest): AdmissionState => {
   const queue = getTeamQueue(state, request);
   const waiting = insertByPriority(queue.waiting, request);
@@ -33,17 +33,22 @@
   return { ...state, teams, queued: state.queued + 1 };
 };
 
-/** Queues that hold requests, by team. */
+/** Lists the non-empty queues by team. */
 export const listWaitingTeams = (state: AdmissionState): readonly [string, TeamQueue][] =>
   Object.entries(state.teams).filter(([, queue]) => queue.waiting.length > 0);
 
 const isActive = ({ running, waiting }: TeamQueue): boolean => running > 0 || waiting.length > 0;
 
 /**
- * Another active team runs more by its weight, or this one no more than its part of the slots.
- * The part alone would count a team as large that only uses what small ones leave.
+ * Whether another active team runs more requests in proportion to its weight, or this team does not
+ * exceed its weighted part of the slots. The second condition alone would treat a team as large
+ * that only uses slots which smaller teams leave idle.
  */
-const isSmall = (state: AdmissionState, queue: TeamQueue, maxRunning: number): boolean => {
+const isWithinFairShare = (
+  state: AdmissionState,
+  queue: TeamQueue,
+  maxRunning: number,
+): boolean => {
   const active = Object.values(state.teams).filter(isActive);
   const weights = active.reduce((sum, { weight }) => sum + weight, 0);
   const largest = Math.max(...active.map(({ running, weight }) => running / weight));
@@ -52,28 +57,31 @@
 };
 
 /**
- * The last free slots are kept for the smaller teams. Were they given to a team that floods,
- * each request of the others would wait for a slot to end: one notices a wait of about the slot
- * time divided by the slots on every first token, whatever the fair order.
+ * The last free slots are reserved for smaller teams. If a flooding team could take them, each
+ * request of the other teams would wait for a slot to be released. That delays every first token by
+ * about the slot time divided by the number of slots, whatever the fair order.
  */
-const mayRun = (state: AdmissionState, queue: TeamQueue, maxRunning: number): boolean => {
-  const reserved = Math.floor(RESERVED_DEVIATIONS * Math.sqrt(maxRunning));
-  const isRoomy = state.running < maxRunning - reserved;
-  return isRoomy || (state.running < maxRunning && isSmall(state, queue, maxRunning));
-};
-
-const findFirstTeam = (
+const isEligibleForSlot = (
   state: AdmissionState,
+  queue: TeamQueue,
   maxRunning: number,
-): [string, TeamQueue] | undefined =>
+): boolean => {
+  const reserved = Math.floor(RESERVED_SLOTS_FACTOR * Math.sqrt(maxRunning));
+  const hasUnreservedSlot = state.running < maxRunning - reserved;
+  return (
+    hasUnreservedSlot || (state.running < maxRunning && isWithinFairShare(state, queue, maxRunning))
+  );
+};
+
+const findNextTeam = (state: AdmissionState, maxRunning: number): [string, TeamQueue] | undefined =>
   listWaitingTeams(state)
-    .filter(([, queue]) => mayRun(state, queue, maxRunning))
+    .filter(([, queue]) => isEligibleForSlot(state, queue, maxRunning))
     .reduce<[string, TeamQueue] | undefined>(
       (best, entry) => (best && best[1].startTag <= entry[1].startTag ? best : entry),
       undefined,
     );
 
-/** Moves the team's next start on by cost / weight and counts the request as running. */
+/** Advances the team's start tag by cost / weight and counts the request as running. */
 const chargeTeam = (
   state: AdmissionState,
   request: AdmissionRequest,
@@ -89,12 +97,12 @@
   };
 };
 
-/** Takes the request whose turn it is out of the queues, if it may have a slot. */
+/** Removes and returns the next request, if it is eligible for a free slot. */
 export const dequeue = (
   state: AdmissionState,
   maxRunning: number,
 ): { readonly state: AdmissionState; readonly request: AdmissionRequest } | undefined => {
-  const first = findFirstTeam(state, maxRunning);
+  const first = findNextTeam(state, maxRunning);
   if (first === undefined) {
     return undefined;
   }
@@ -104,7 +112,7 @@
   return { state: { ...charged, queued: state.queued - 1 }, request };
 };
 
-/** A request of the team has given its slot back. */
+/** Releases a slot of the team. */
 export const releaseSlot = (state: AdmissionState, team: string): AdmissionState => {
   const queue = state.teams[team];
   const running = Math.max(0, state.running - 1);
@@ -115,7 +123,7 @@
   return { ...state, running, teams: { ...state.teams, [team]: released } };
 };
 
-/** Takes requests that were given up out of the queues; they are not charged. */
+/** Removes shed requests from the queues without charging their teams. */
 export const removeRequests = (state: AdmissionState, ids: ReadonlySet<string>): AdmissionState => {
   const keep = (queue: TeamQueue): TeamQueue => ({
     ...queue,
--- a/packages/policy/src/limits/fairSchedule.ts
+++ b/packages/policy/src/limits/fairSchedule.ts
@@ -1,8 +1,8 @@
-/** The order in which the waiting requests would run if no more came. */
+/** Simulates the order in which the queued requests would run if no further ones arrived. */
 import { listWaitingTeams } from './fairOrder.js';
 import type { AdmissionRequest, AdmissionSettings, AdmissionState } from './types.js';
 
-/** A waiting request and the units of cost that go before it. */
+/** A queued request and the total cost of the requests before it. */
 export interface ScheduledRequest {
   readonly request: AdmissionRequest;
   readonly costAhead: number;
@@ -15,13 +15,13 @@
   tag: number;
 }
 
-/** Units of cost that finish per second with all slots in use; 0 while unknown. */
+/** Cost units that complete per second with all slots in use; 0 while unknown. */
 export const getDrainPerSecond = (
   { serviceMs }: AdmissionState,
   { maxRunning }: AdmissionSettings,
 ): number => (serviceMs > 0 ? (maxRunning * 1_000) / serviceMs : 0);
 
-/** The wait behind so much work; 0 while the drain rate is unknown. */
+/** Waiting time behind the given amount of work; 0 while the drain rate is unknown. */
 export const toWaitMs = (costAhead: number, drainPerSecond: number): number =>
   drainPerSecond > 0 ? (costAhead * 1_000) / drainPerSecond : 0;
 
@@ -45,8 +45,8 @@
   }));
 
 /**
- * Walks the fair order. A request that `keep` turns down does not count as work ahead of the ones
- * after it: were it counted, one burst would have requests given up that still can be reached.
+ * Walks the fair queueing order. A request that `keep` rejects does not count as work ahead of
+ * later ones. If it did, a burst would shed requests that can still be served in time.
  */
 export const walkFairSchedule = (
   state: AdmissionState,
@@ -64,7 +64,7 @@
   }
 };
 
-/** The expected wait of a request that is in line. */
+/** Returns the expected queueing time of a queued request. */
 export const getExpectedWaitMs = (
   state: AdmissionState,
   settings: AdmissionSettings,
--- a/packages/policy/src/limits/index.ts
+++ b/packages/policy/src/limits/index.ts
@@ -1,4 +1,6 @@
-/** Limits, their division among daemons, and admission under overload. */
+/**
+ * Rate and concurrency limits, their division among daemons, and admission control under overload.
+ */
 export * from './chooseAdmission.js';
 export { SHARE_FORGET_MS, SHARE_REQUEST_INTERVAL_MS, SHARE_TTL_MS } from './constants.js';
 export * from './divideLimit.js';
--- a/packages/policy/src/limits/shareAllocator.ts
+++ b/packages/policy/src/limits/shareAllocator.ts
@@ -1,68 +1,73 @@
 /**
- * The allocator of one limit. The sum of what may be in force never exceeds the limit, whatever
- * messages are lost or late and whoever dies, by three rules:
+ * The allocator of one limit. The sum of the shares in force never exceeds the limit, whatever
+ * messages are lost or delayed and whichever process dies, because of three rules:
  *
- * - A lowered share counts at its old height until the member says that it holds less, or until
- *   the old grant has ended.
- * - A member that falls silent takes its fixed share again after a time. Each member names the last
- *   answer it adopted and thereby promises not to do so earlier; a grant that would outlast that
- *   promise leaves room for the fixed share.
- * - Members not heard of in this term may be cut off and on their fixed shares: room is left for
- *   them all. Fixed shares sum up to no more than the limit, by configuration.
+ * - A reduced share counts at its previous size until the member reports a smaller one or the
+ *   previous grant has expired.
+ * - A member that is partitioned from the allocator falls back to its fixed share after a while.
+ *   Each member reports the last answer that it adopted and thereby promises not to fall back
+ *   earlier; a grant that outlasts this promise leaves room for the fixed share.
+ * - Members that have not reported in this term may be partitioned and on their fixed shares, so
+ *   room is reserved for all of them. By configuration, the sum of the fixed shares does not exceed
+ *   the limit.
  *
- * Without the second rule a data centre that is cut off and the rest would use its share twice.
+ * Without the second rule, a partitioned data centre and the remaining ones would both use the same
+ * share.
  */
-import { SHARE_FALL_BACK_MS, SHARE_FORGET_MS, SHARE_TTL_MS } from './constants.js';
+import { SHARE_FALLBACK_MS, SHARE_FORGET_MS, SHARE_TTL_MS } from './constants.js';
 import { divideLimit } from './divideLimit.js';
 import type { ShareAllocator, ShareGrant, ShareMember, ShareRequest } from './types.js';
 
-/** An allocator at the start of its term. */
+/** Creates an allocator at the start of its term. */
 export const createShareAllocator = (
   total: number,
   term: number,
   termEndsAtMs: number,
 ): ShareAllocator => ({ total, term, termEndsAtMs, members: {} });
 
-/** The same allocator after its lease was renewed. */
+/** Extends the term after the allocator's lease was renewed. */
 export const extendTerm = (allocator: ShareAllocator, termEndsAtMs: number): ShareAllocator => ({
   ...allocator,
   termEndsAtMs,
 });
 
-/** Frees the place of a member that the VM list has dropped: it is gone, not cut off. */
-export const forgetShareMember = (allocator: ShareAllocator, member: string): ShareAllocator => {
+/**
+ * Removes a member that is no longer in the VM list. Such a member has ended and is not
+ * partitioned, so its share becomes free.
+ */
+export const removeShareMember = (allocator: ShareAllocator, member: string): ShareAllocator => {
   const left = Object.entries(allocator.members).filter(([name]) => name !== member);
   return { ...allocator, members: Object.fromEntries(left) };
 };
 
-const forgetSilent = (allocator: ShareAllocator, nowMs: number): ShareAllocator => {
-  const isHeard = ([, member]: [string, ShareMember]): boolean =>
-    nowMs - member.heardAtMs < SHARE_FORGET_MS;
+const removeExpiredMembers = (allocator: ShareAllocator, nowMs: number): ShareAllocator => {
+  const isUnexpired = ([, member]: [string, ShareMember]): boolean =>
+    nowMs - member.lastRequestAtMs < SHARE_FORGET_MS;
   return {
     ...allocator,
-    members: Object.fromEntries(Object.entries(allocator.members).filter(isHeard)),
+    members: Object.fromEntries(Object.entries(allocator.members).filter(isUnexpired)),
   };
 };
 
-const sumOf = (members: readonly ShareMember[], pick: (member: ShareMember) => number): number =>
+const sumBy = (members: readonly ShareMember[], pick: (member: ShareMember) => number): number =>
   members.reduce((sum, member) => sum + pick(member), 0);
 
-/** The most that a member may use at any time from now until `untilMs`. */
-const getMostInForce = (member: ShareMember, nowMs: number, untilMs: number): number => {
+/** Returns the largest share that the member may use at any time from now until `untilMs`. */
+const getMaxShareInForce = (member: ShareMember, nowMs: number, untilMs: number): number => {
   const granted =
     nowMs < member.outstandingUntilMs
       ? member.outstanding
       : Math.min(member.outstanding, member.fixedShare);
-  return untilMs < member.noFallBackBeforeMs ? granted : Math.max(granted, member.fixedShare);
+  return untilMs < member.noFallbackBeforeMs ? granted : Math.max(granted, member.fixedShare);
 };
 
-const getUnheardShares = ({ total, members }: ShareAllocator): number =>
-  Math.max(0, total - sumOf(Object.values(members), (member) => member.fixedShare));
+const getUnreportedShares = ({ total, members }: ShareAllocator): number =>
+  Math.max(0, total - sumBy(Object.values(members), (member) => member.fixedShare));
 
-const getNoFallBackBeforeMs = ({ term }: ShareAllocator, { lastAnswer }: ShareRequest): number =>
-  lastAnswer?.term === term ? lastAnswer.answeredAtMs + SHARE_FALL_BACK_MS : 0;
+const getNoFallbackBeforeMs = ({ term }: ShareAllocator, { lastAnswer }: ShareRequest): number =>
+  lastAnswer?.term === term ? lastAnswer.answeredAtMs + SHARE_FALLBACK_MS : 0;
 
-const hearRequest = (
+const recordRequest = (
   allocator: ShareAllocator,
   request: ShareRequest,
   nowMs: number,
@@ -73,27 +78,30 @@
     fixedShare: request.fixedShare,
     outstanding: request.heldShare,
     outstandingUntilMs: nowMs + SHARE_TTL_MS,
-    noFallBackBeforeMs: getNoFallBackBeforeMs(allocator, request),
-    heardAtMs: nowMs,
+    noFallbackBeforeMs: getNoFallbackBeforeMs(allocator, request),
+    lastRequestAtMs: nowMs,
   };
   return { ...allocator, members: { ...allocator.members, [request.member]: member } };
 };
 
-const isSilent = (member: ShareMember, nowMs: number): boolean =>
-  nowMs - member.heardAtMs >= SHARE_TTL_MS;
+const isUnresponsive = (member: ShareMember, nowMs: number): boolean =>
+  nowMs - member.lastRequestAtMs >= SHARE_TTL_MS;
 
-/** What the member should have, were all lowered shares given back already. */
+/** Returns the member's share as if all reduced shares had been released already. */
 const getTarget = (allocator: ShareAllocator, name: string, nowMs: number): number => {
   const entries = Object.entries(allocator.members);
-  const silent = entries.map(([, member]) => member).filter((member) => isSilent(member, nowMs));
-  const heard = entries.filter(([, member]) => !isSilent(member, nowMs));
-  const reserved = getUnheardShares(allocator) + sumOf(silent, (member) => member.fixedShare);
-  const demands = Object.fromEntries(heard.map(([id, member]) => [id, member.demand]));
+  const unresponsive = entries
+    .map(([, member]) => member)
+    .filter((member) => isUnresponsive(member, nowMs));
+  const responsive = entries.filter(([, member]) => !isUnresponsive(member, nowMs));
+  const reserved =
+    getUnreportedShares(allocator) + sumBy(unresponsive, (member) => member.fixedShare);
+  const demands = Object.fromEntries(responsive.map(([id, member]) => [id, member.demand]));
   return divideLimit(allocator.total - reserved, demands)[name] ?? 0;
 };
 
-/** What the others leave for the member until `untilMs`. */
-const getRoom = (
+/** Returns how much of the limit the other members leave for this one until `untilMs`. */
+const getAvailableShare = (
   allocator: ShareAllocator,
   name: string,
   nowMs: number,
@@ -102,8 +110,8 @@
   const others = Object.entries(allocator.members)
     .filter(([id]) => id !== name)
     .map(([, member]) => member);
-  const used = sumOf(others, (member) => getMostInForce(member, nowMs, untilMs));
-  return Math.max(0, allocator.total - used - getUnheardShares(allocator));
+  const used = sumBy(others, (member) => getMaxShareInForce(member, nowMs, untilMs));
+  return Math.max(0, allocator.total - used - getUnreportedShares(allocator));
 };
 
 const recordGrant = (
@@ -122,48 +130,56 @@
 };
 
 /**
- * A share in whole units where only these are of use: parts of a slot, spread over all members, would let
- * none of them run anything, which one would notice as a small team refused everywhere. Who asks gets its
- * target rounded up while there is room, first come first served.
+ * Rounds a share to whole units where fractions are of no use. If fractions of a slot were spread
+ * over all members, none could run a request, and a small team would be refused everywhere. The
+ * share of a member with demand is rounded up while capacity is left, first come, first served.
  */
-const toWholeUnits = (allocator: ShareAllocator, demand: number, target: number, room: number) => {
+const roundToQuantum = (
+  allocator: ShareAllocator,
+  demand: number,
+  target: number,
+  available: number,
+) => {
   const { quantum } = allocator;
   if (quantum === undefined) {
-    return Math.min(target, room);
+    return Math.min(target, available);
   }
   const units = demand > 0 ? Math.ceil(target / quantum) : Math.floor(target / quantum);
-  return Math.min(units, Math.floor(room / quantum)) * quantum;
+  return Math.min(units, Math.floor(available / quantum)) * quantum;
 };
 
-const isOld = ({ members }: ShareAllocator, { member, seq }: ShareRequest): boolean => {
+const isStale = ({ members }: ShareAllocator, { member, seq }: ShareRequest): boolean => {
   const known = members[member];
   return known !== undefined && seq <= known.seq;
 };
 
-/** Takes in a request that wants nothing, without the work of an answer. */
+/** Records a request from a member without demand, and spares the computation of an answer. */
 export const hearShareMember = (
   allocator: ShareAllocator,
   request: ShareRequest,
   nowMs: number,
 ): ShareAllocator =>
-  isOld(allocator, request) ? allocator : hearRequest(allocator, request, nowMs);
+  isStale(allocator, request) ? allocator : recordRequest(allocator, request, nowMs);
 
-/** Answers one request, or doesn't: to an old or repeated one, and when the term is over. */
+/**
+ * Answers a request. There is no grant for a stale or duplicate request, nor after the end of the
+ * term.
+ */
 export const answerShareRequest = (
   allocator: ShareAllocator,
   request: ShareRequest,
   nowMs: number,
 ): { readonly allocator: ShareAllocator; readonly grant?: ShareGrant } => {
   const ttlMs = Math.min(SHARE_TTL_MS, allocator.termEndsAtMs - nowMs);
-  if (ttlMs <= 0 || isOld(allocator, request)) {
+  if (ttlMs <= 0 || isStale(allocator, request)) {
     return { allocator };
   }
   const { member: name, seq } = request;
   const untilMs = nowMs + ttlMs;
-  const heard = hearRequest(forgetSilent(allocator, nowMs), request, nowMs);
-  const target = getTarget(heard, name, nowMs);
-  const room = getRoom(heard, name, nowMs, untilMs);
-  const share = toWholeUnits(heard, request.demand, target, room);
-  const grant = { member: name, seq, term: heard.term, share, ttlMs, answeredAtMs: nowMs };
-  return { allocator: recordGrant(heard, name, share, untilMs), grant };
+  const recorded = recordRequest(removeExpiredMembers(allocator, nowMs), request, nowMs);
+  const target = getTarget(recorded, name, nowMs);
+  const available = getAvailableShare(recorded, name, nowMs, untilMs);
+  const share = roundToQuantum(recorded, request.demand, target, available);
+  const grant = { member: name, seq, term: recorded.term, share, ttlMs, answeredAtMs: nowMs };
+  return { allocator: recordGrant(recorded, name, share, untilMs), grant };
 };
--- a/packages/policy/src/limits/shareHolder.ts
+++ b/packages/policy/src/limits/shareHolder.ts
@@ -1,16 +1,17 @@
 /**
- * A member's side of a divided limit. A share is a lease: it ends by the member's own clock, counted
- * from the moment the request was SENT, so that it ends before the allocator counts it as ended,
- * however long the messages took. Only the answer to the latest request is adopted: an older one
- * that comes late would bring back a share that the allocator has since given to others, which one
- * would notice as a team's rate above its limit.
+ * The member's side of a divided limit. A share is a lease that ends by the member's own clock,
+ * counted from the moment at which the request was SENT. However long the messages took, it ends
+ * before the allocator counts it as ended. Only the answer to the latest request is adopted: a
+ * delayed older answer would restore a share that the allocator has since granted to others, and
+ * the team's rate would exceed its limit.
  */
-import { SHARE_CLOCK_DRIFT, SHARE_FALL_BACK_MS } from './constants.js';
+import { SHARE_CLOCK_DRIFT, SHARE_FALLBACK_MS } from './constants.js';
 import type { ShareGrant, ShareHolder, ShareRequest } from './types.js';
 
 /**
- * A member that has just started, without a share. It waits as long as any other before it falls
- * back: an earlier life of it may have promised the allocator so, and the promise outlasts it.
+ * Creates the state of a member that has just started and has no share. It waits for the full
+ * fallback delay like any other member: its previous incarnation may have promised the allocator
+ * not to fall back earlier, and the promise is still valid.
  */
 export const createShareHolder = (
   member: string,
@@ -23,12 +24,13 @@
   requestSentAtMs: nowMs,
   share: 0,
   shareUntilMs: nowMs,
-  fallBackAtMs: nowMs + SHARE_FALL_BACK_MS * (1 + SHARE_CLOCK_DRIFT),
+  fallBackAtMs: nowMs + SHARE_FALLBACK_MS * (1 + SHARE_CLOCK_DRIFT),
 });
 
 /**
- * The share that the member may use now. Between the end of its lease and the fall back it keeps
- * no more than the smaller of both, for others may still be using what it lent them.
+ * Returns the share that the member may use now. Between the end of its lease and the fallback,
+ * this is the smaller of the last share and the fixed share, because other members may still be
+ * using what was lent to them.
  */
 export const getShareInForce = (holder: ShareHolder, nowMs: number): number => {
   if (nowMs < holder.shareUntilMs) {
@@ -39,7 +41,10 @@
     : Math.min(holder.share, holder.fixedShare);
 };
 
-/** The next request to send. `inUse` is what can't be given up at once: running requests. */
+/**
+ * Creates the next request. `inUse` is the amount that cannot be released at once, such as running
+ * requests.
+ */
 export const requestShare = (
   holder: ShareHolder,
   demand: number,
@@ -53,7 +58,7 @@
   return { holder: { ...holder, seq, requestSentAtMs: nowMs }, request };
 };
 
-/** The holder after an answer has come; unchanged by any but the answer to the latest request. */
+/** Applies a grant. Grants that do not answer the latest request are ignored. */
 export const adoptShare = (holder: ShareHolder, grant: ShareGrant, nowMs: number): ShareHolder => {
   if (grant.member !== holder.member || grant.seq !== holder.seq) {
     return holder;
@@ -62,7 +67,7 @@
     ...holder,
     share: grant.share,
     shareUntilMs: holder.requestSentAtMs + grant.ttlMs * (1 - SHARE_CLOCK_DRIFT),
-    fallBackAtMs: nowMs + SHARE_FALL_BACK_MS * (1 + SHARE_CLOCK_DRIFT),
+    fallBackAtMs: nowMs + SHARE_FALLBACK_MS * (1 + SHARE_CLOCK_DRIFT),
     lastAnswer: { term: grant.term, answeredAtMs: grant.answeredAtMs },
   };
 };
--- a/packages/policy/src/limits/shares.test.ts
+++ b/packages/policy/src/limits/shares.test.ts
@@ -1,4 +1,4 @@
-/** Division of a limit: by demand, and never above the limit in sum. */
+/** Division of a limit: shares follow demand, and their sum never exceeds the limit. */
 import { createRandom } from '@snipehaven/common';
 import type { Random } from '@snipehaven/common';
 import fc from 'fast-check';
@@ -26,7 +26,7 @@
 const sum = (values: readonly number[]): number =>
   values.reduce((total, value) => total + value, 0);
 
-test('shares follow demand and sum up to the limit', () => {
+test('shares follow demand and do not exceed the limit in total', () => {
   fc.assert(
     fc.property(
       fc.dictionary(fc.string(), fc.double({ min: 0, max: 1e6, noNaN: true }), { minKeys: 1 }),
@@ -44,13 +44,13 @@
   );
 });
 
-/** Messages with random delays, losses and duplicates; a cut member hears and says nothing. */
+/** A network that delays, loses and duplicates messages. */
 class Network {
   #random: Random;
 
   #lossShare: number;
 
-  #mail: { readonly atMs: number; readonly run: (nowMs: number) => void }[] = [];
+  #messages: { readonly atMs: number; readonly run: (nowMs: number) => void }[] = [];
 
   constructor(random: Random, lossShare: number) {
     this.#random = random;
@@ -62,20 +62,23 @@
     for (let copy = 0; copy < copies; copy += 1) {
       if (this.#random.next() >= this.#lossShare) {
         const delayMs = this.#random.next() < 0.2 ? 9_000 : 300;
-        this.#mail.push({ atMs: nowMs + this.#random.next() * delayMs, run });
+        this.#messages.push({ atMs: nowMs + this.#random.next() * delayMs, run });
       }
     }
   }
 
   deliver(nowMs: number): void {
-    const due = this.#mail.filter(({ atMs }) => atMs <= nowMs);
-    this.#mail = this.#mail.filter(({ atMs }) => atMs > nowMs);
+    const due = this.#messages.filter(({ atMs }) => atMs <= nowMs);
+    this.#messages = this.#messages.filter(({ atMs }) => atMs > nowMs);
     due.sort((a, b) => a.atMs - b.atMs).forEach(({ run }) => run(nowMs));
   }
 }
 
-/** Members and one allocator after another; each member's clock has an offset of its own. */
-class ShareWorld {
+/**
+ * Simulates members, each with its own clock offset, and a succession of allocators. A partitioned
+ * member neither sends nor receives.
+ */
+class ShareSimulation {
   readonly random: Random;
 
   #network: Network;
@@ -100,8 +103,8 @@
 
   step(nowMs: number): number {
     this.#network.deliver(nowMs);
-    this.#moveTerm(nowMs);
-    MEMBERS.forEach((member) => this.#moveMember(member, nowMs));
+    this.#advanceTerm(nowMs);
+    MEMBERS.forEach((member) => this.#advanceMember(member, nowMs));
     return this.#sumInForce(nowMs);
   }
 
@@ -109,8 +112,10 @@
     return nowMs + (this.#offsets.get(member) ?? 0);
   }
 
-  /** The lease is renewed, or runs out and goes to a new allocator that knows nobody. */
-  #moveTerm(nowMs: number): void {
+  /**
+   * Renews the lease, or replaces the allocator by a new one without state when the lease expires.
+   */
+  #advanceTerm(nowMs: number): void {
     if (this.random.next() < 0.1 && nowMs < this.#allocator.termEndsAtMs) {
       this.#allocator = extendTerm(this.#allocator, nowMs + TERM_MS);
     } else if (nowMs >= this.#allocator.termEndsAtMs) {
@@ -118,7 +123,7 @@
     }
   }
 
-  #moveMember(member: string, nowMs: number): void {
+  #advanceMember(member: string, nowMs: number): void {
     if (this.random.next() < 0.003) {
       this.#cutUntilMs.set(member, nowMs + this.random.nextInt(60_000));
     }
@@ -169,14 +174,14 @@
   }
 }
 
-// Symptom: a team's rate above its limit for some seconds. Sequence: a share is lowered and given
-// to another member while the answer is late or lost, a member is cut off and falls back to its
-// fixed share, or a new allocator starts without knowledge. Cause: a share counted as free that may
-// still be in force somewhere.
-test('the sum in force stays within the limit under loss, delay, cuts, restarts and new terms', () => {
+// Guards against a team exceeding its limit for some seconds. This happens when a share that may
+// still be in force counts as free: a reduced share is granted to another member while an answer is
+// late or lost, a partitioned member falls back to its fixed share, or a new allocator starts
+// without state.
+test('the sum in force stays within the limit under loss, delay, partitions, restarts and new terms', () => {
   fc.assert(
     fc.property(fc.integer({ min: 1, max: 1e9 }), fc.constantFrom(0, 0.1, 0.5), (seed, loss) => {
-      const world = new ShareWorld(seed, loss);
+      const world = new ShareSimulation(seed, loss);
       for (let step = 1; step <= STEPS; step += 1) {
         const inForce = world.step(step * STEP_MS);
         assert.ok(inForce <= TOTAL + 1e-6, `${inForce} at ${step * STEP_MS} ms`);
@@ -186,7 +191,7 @@
   );
 });
 
-test('with prompt messages the shares follow demand within some rounds', () => {
+test('without message delays the shares converge to demand within a few rounds', () => {
   let allocator = createShareAllocator(TOTAL, 1, 1e9);
   let holders = MEMBERS.map((member) => createShareHolder(member, TOTAL / 3, 0));
   const demands = [200, 10, 5];
--- a/packages/policy/src/limits/shedRequests.ts
+++ b/packages/policy/src/limits/shedRequests.ts
@@ -1,6 +1,6 @@
-/** Which requests are given up, at once, when there is no room or no time for them. */
+/** Selects the requests to shed when capacity or time is short; they are refused at once. */
 import type { Random } from '@snipehaven/common';
-import { MAX_WAIT_SHARE, REFUSAL_FADE_MS } from './constants.js';
+import { MAX_WAIT_FRACTION, REFUSAL_DECAY_MS } from './constants.js';
 
 import { listWaitingTeams, removeRequests } from './fairOrder.js';
 import { getDrainPerSecond, toWaitMs, walkFairSchedule } from './fairSchedule.js';
@@ -13,7 +13,7 @@
   AdmissionState,
 } from './types.js';
 
-/** Waiting requests whose turn would come after their deadline. */
+/** Finds queued requests whose turn would come after their deadline or after their maximum wait. */
 const findTooLate = (
   state: AdmissionState,
   settings: AdmissionSettings,
@@ -24,7 +24,7 @@
   walkFairSchedule(state, ({ request, costAhead }) => {
     const waitMs = toWaitMs(costAhead, drainPerSecond);
     const readyAtMs = nowMs + waitMs + state.serviceMs * request.cost;
-    const maxWaitMs = MAX_WAIT_SHARE * (request.deadlineAtMs - request.arrivedAtMs);
+    const maxWaitMs = MAX_WAIT_FRACTION * (request.deadlineAtMs - request.arrivedAtMs);
     const waitedMs = nowMs - request.arrivedAtMs + waitMs;
     const isInTime = readyAtMs < request.deadlineAtMs && waitedMs <= maxWaitMs;
     if (!isInTime) {
@@ -36,11 +36,11 @@
 };
 
 const countRefusal = (state: AdmissionState, nowMs: number): AdmissionState => {
-  const fade = Math.exp((state.refusalsAtMs - nowMs) / REFUSAL_FADE_MS);
-  return { ...state, recentRefusals: state.recentRefusals * fade + 1, refusalsAtMs: nowMs };
+  const decay = Math.exp((state.refusalsAtMs - nowMs) / REFUSAL_DECAY_MS);
+  return { ...state, recentRefusals: state.recentRefusals * decay + 1, refusalsAtMs: nowMs };
 };
 
-/** Counts a refusal and gives it its time to come back. */
+/** Counts a refusal and computes its retry delay. */
 export const refuse = (
   state: AdmissionState,
   settings: AdmissionSettings,
@@ -59,7 +59,7 @@
   return { state: counted, refusal: { request, reason, retryAfterMs } };
 };
 
-/** Takes all waiting requests out that can't be reached in time any more. */
+/** Removes all queued requests that can no longer be served in time. */
 export const shedTooLate = (
   state: AdmissionState,
   settings: AdmissionSettings,
@@ -80,8 +80,11 @@
   return { state: current, refused };
 };
 
-/** Of the team that waits for most work by its weight, the last request of the lowest priority. */
-export const findDisplaceable = (state: AdmissionState): AdmissionRequest | undefined => {
+/**
+ * Returns the last request, which has the lowest priority, of the team with the longest queue in
+ * proportion to its weight.
+ */
+export const findRequestToEvict = (state: AdmissionState): AdmissionRequest | undefined => {
   const [largest] = listWaitingTeams(state)
     .map(([, queue]) => queue)
     .sort((a, b) => b.waiting.length / b.weight - a.waiting.length / a.weight);
--- a/packages/policy/src/limits/takeTokens.ts
+++ b/packages/policy/src/limits/takeTokens.ts
@@ -1,13 +1,18 @@
-/** A token bucket as pure functions: rates, and spend as micro-dollars per second. */
+/**
+ * A token bucket as pure functions. Used for request and token rates, and for spend in
+ * micro-dollars per second.
+ */
 import type { TokenBucketLimit, TokenBucketState, TokenDecision } from './types.js';
 
-/** A full bucket. */
 export const createTokenBucket = (limit: TokenBucketLimit, nowMs: number): TokenBucketState => ({
   tokens: limit.burst,
   updatedAtMs: nowMs,
 });
 
-/** The bucket at `nowMs`; a limit that has just been lowered cuts what was saved up. */
+/**
+ * Returns the bucket refilled up to `nowMs`. If the limit was lowered, the balance is capped at the
+ * new burst.
+ */
 const refill = (
   { tokens, updatedAtMs }: TokenBucketState,
   limit: TokenBucketLimit,
@@ -21,7 +26,7 @@
 const getWaitMs = (missing: number, { ratePerSecond }: TokenBucketLimit): number =>
   ratePerSecond > 0 ? (missing * 1_000) / ratePerSecond : Infinity;
 
-/** Takes `amount` tokens if the bucket has them; takes nothing otherwise. */
+/** Takes `amount` tokens if the bucket holds them, and none otherwise. */
 export const takeTokens = (
   state: TokenBucketState,
   limit: TokenBucketLimit,
@@ -37,12 +42,15 @@
   return { state: refilled, isAllowed: false, waitMs };
 };
 
-/** Corrects a reservation by what the request really cost; dearer ones leave a debt. */
+/**
+ * Replaces a reservation by the actual cost. The balance turns negative if the request cost more
+ * than it reserved.
+ */
 export const settleTokens = (
   state: TokenBucketState,
   reserved: number,
   actual: number,
 ): TokenBucketState => ({ ...state, tokens: state.tokens + reserved - actual });
 
-/** Whether one more request may run under a concurrency limit or a share of one. */
+/** Whether one more request fits under a concurrency limit or a share of one. */
 export const hasConcurrencyLeft = (inUse: number, limit: number): boolean => inUse + 1 <= limit;
--- a/packages/policy/src/limits/types.ts
+++ b/packages/policy/src/limits/types.ts
@@ -1,62 +1,69 @@
-/** What limits and admission read and answer. */
+/** Types of limits and admission control. */
 import type { Random, TeamId } from '@snipehaven/common';
 
-/** A rate with a burst, in any unit: requests, tokens or micro-dollars. */
+/** A rate limit with a burst, in any unit: requests, tokens or micro-dollars. */
 export interface TokenBucketLimit {
   readonly ratePerSecond: number;
   readonly burst: number;
 }
 
-/** A token bucket; below 0 after a request that cost more than was reserved for it. */
+/**
+ * State of a token bucket. The balance is negative after a request that cost more than it reserved.
+ */
 export interface TokenBucketState {
   readonly tokens: number;
   readonly updatedAtMs: number;
 }
 
-/** Whether tokens were taken, and if not, when there will be enough. */
+/** Result of taking tokens; if there are too few, when there will be enough. */
 export interface TokenDecision {
   readonly state: TokenBucketState;
   readonly isAllowed: boolean;
-  /** 0 when allowed; Infinity when the burst can never hold the amount. */
+  /** 0 if allowed; Infinity if the amount exceeds the burst. */
   readonly waitMs: number;
 }
 
-/** Amounts by member (a daemon's VM name). */
+/** Amounts by member, which is identified by the daemon's VM name. */
 export type AmountsByMember = Readonly<Record<string, number>>;
 
-/** An answer that a member has adopted, named to the allocator that gave it. */
+/** Identifies the last answer that a member has adopted to the allocator that sent it. */
 export interface ShareAnswerRef {
   readonly term: number;
   /** By the allocator's clock. */
   readonly answeredAtMs: number;
 }
 
-/** A member's request for its share of one limit. Sent at a steady pace, answered or not. */
+/**
+ * A member's request for its share of one limit. Sent at a fixed interval, whether or not the
+ * previous one was answered.
+ */
 export interface ShareRequest {
   readonly member: string;
-  /** Rises with each request, over restarts too: it starts from the clock. */
+  /**
+   * Increases with each request. It starts from the clock, so that it also increases over restarts.
+   */
   readonly seq: number;
   readonly demand: number;
-  /** The share in force at the member, or more where that much is in use. */
+  /** The share in force at the member, or the amount in use if that is larger. */
   readonly heldShare: number;
-  /** What the member falls back to when it is cut off. */
+  /** The share that the member falls back to when it is partitioned from the allocator. */
   readonly fixedShare: number;
   readonly lastAnswer?: ShareAnswerRef;
 }
 
-/** The allocator's answer. */
+/** The allocator's answer to a request. */
 export interface ShareGrant {
   readonly member: string;
-  /** The request's. */
+  /** Sequence number of the request. */
   readonly seq: number;
   readonly term: number;
   readonly share: number;
-  /** Lasts so long from the moment the member sent the request. */
+  /** Lease duration, counted from the moment at which the member sent the request. */
   readonly ttlMs: number;
   readonly answeredAtMs: number;
 }
 
-/** A member's side of one limit's share. */
+/** A member's state for its share of one limit. */
 export interface ShareHolder {
   readonly member: string;
   readonly fixedShare: number;
@@ -64,90 +71,93 @@
   readonly requestSentAtMs: number;
   readonly share: number;
   readonly shareUntilMs: number;
-  /** From then on, without a newer answer, the fixed share is in force. */
+  /** Without a newer answer, the fixed share is in force from this time on. */
   readonly fallBackAtMs: number;
   readonly lastAnswer?: ShareAnswerRef;
 }
 
-/** What an allocator knows of one member. */
+/** An allocator's state for one member. */
 export interface ShareMember {
   readonly seq: number;
   readonly demand: number;
   readonly fixedShare: number;
-  /** The most that may be in force there until `outstandingUntilMs`. */
+  /** The largest share that may be in force at the member until `outstandingUntilMs`. */
   readonly outstanding: number;
   readonly outstandingUntilMs: number;
-  /** The member does not fall back before this time. */
-  readonly noFallBackBeforeMs: number;
-  readonly heardAtMs: number;
+  /** The member has promised not to fall back to its fixed share before this time. */
+  readonly noFallbackBeforeMs: number;
+  readonly lastRequestAtMs: number;
 }
 
-/** The allocator of one limit: one daemon, while it holds the lease that `term` counts. */
+/**
+ * State of the allocator of one limit. The allocator is the daemon that holds the lease whose
+ * fencing number is `term`.
+ */
 export interface ShareAllocator {
   readonly total: number;
   readonly term: number;
-  /** When its lease ends, less the margin for clocks; no grant outlasts it. */
+  /** End of the allocator's lease, less the margin for clock drift; no grant outlasts it. */
   readonly termEndsAtMs: number;
   readonly members: Readonly<Record<string, ShareMember>>;
-  /** Shares are multiples of it, as with slots; any amount if left out. */
+  /** Shares are multiples of this amount, as for slots; unset allows any amount. */
   readonly quantum?: number;
 }
 
-/** A request as admission sees it. */
+/** A request as seen by admission control. */
 export interface AdmissionRequest {
   readonly id: string;
   readonly team: TeamId;
-  /** The team's weight among teams, above 0. */
+  /** Weight of the team relative to other teams, greater than 0. */
   readonly weight: number;
-  /** 0 lowest to 9; orders requests of one team only. */
+  /** From 0, the lowest, to 9; orders only the requests of one team. */
   readonly priority: number;
-  /** Expected work in units of a usual request. */
+  /** Expected work, in units of an average request. */
   readonly cost: number;
   readonly arrivedAtMs: number;
   readonly deadlineAtMs: number;
 }
 
-/** The requests of one team that run and wait, and the team's place in the fair order. */
+/** Running and queued requests of one team, and its position in the fair queueing order. */
 export interface TeamQueue {
   readonly weight: number;
   readonly running: number;
-  /** Virtual time at which the next request of the team starts. */
+  /** Virtual time at which the team's next request starts. */
   readonly startTag: number;
-  /** By falling priority, then by arrival. */
+  /** By descending priority, then by arrival. */
   readonly waiting: readonly AdmissionRequest[];
 }
 
-/** Running and waiting requests of one daemon. */
+/** Running and queued requests of one daemon. */
 export interface AdmissionState {
   readonly running: number;
   readonly queued: number;
   readonly virtualTime: number;
   readonly teams: Readonly<Record<string, TeamQueue>>;
-  /** Moving average of the time that one unit of cost holds its slot; 0 while unknown. */
+  /** Moving average of the time for which one unit of cost occupies a slot; 0 while unknown. */
   readonly serviceMs: number;
-  /** Refusals, fading with time: the callers that will come back. */
+  /** Exponentially decayed count of refusals, which estimates how many callers will return. */
   readonly recentRefusals: number;
   readonly refusalsAtMs: number;
 }
 
-/** The room that admission has. */
+/** Capacity of admission control. */
 export interface AdmissionSettings {
-  /** Requests that may run at once: what the upstreams' limits add up to. */
+  /** Maximum number of concurrent requests: the sum of the upstreams' limits. */
   readonly maxRunning: number;
   readonly maxQueued: number;
 }
 
-/** Why a request is refused before anything ran. */
+/** Why a request is refused before it has run anywhere. */
 export type AdmissionRefusalReason = 'queueFull' | 'tooLate';
 
-/** A request that gets its final answer now. Its verdict is `notRun`. */
+/** A refusal to be sent to the caller at once. The request's verdict is `notRun`. */
 export interface AdmissionRefusal {
   readonly request: AdmissionRequest;
   readonly reason: AdmissionRefusalReason;
   readonly retryAfterMs: number;
 }
 
-/** What becomes of a new request. */
+/** Decision about a new request. */
 export type AdmissionDecision =
   | { readonly kind: 'run' }
   | { readonly kind: 'queue'; readonly expectedWaitMs: number }
@@ -157,21 +167,24 @@
       readonly retryAfterMs: number;
     };
 
-/** The decision, and requests that had to make room for it: answer these at once too. */
+/**
+ * The decision about a new request, and the queued requests that were evicted for it; these must be
+ * answered at once too.
+ */
 export interface AdmissionResult {
   readonly state: AdmissionState;
   readonly decision: AdmissionDecision;
   readonly displaced: readonly AdmissionRefusal[];
 }
 
-/** The next request to run, and those given up while they waited. */
+/** The next request to run, and the queued requests that were shed. */
 export interface AdmissionNext {
   readonly state: AdmissionState;
   readonly next?: AdmissionRequest;
   readonly refused: readonly AdmissionRefusal[];
 }
 
-/** What the time for a refused caller to come back depends on. */
+/** Input of the retry delay of a refused caller. */
 export interface RetryAfterInput {
   readonly queued: number;
   readonly drainPerSecond: number;
--- a/packages/policy/src/modelChoice/candidateEstimate.ts
+++ b/packages/policy/src/modelChoice/candidateEstimate.ts
@@ -1,10 +1,10 @@
-/** What a candidate would cost, take and achieve for one request. */
+/** Estimates the cost, duration and quality of a candidate for one request. */
 import { addPrior, type QualityEvidence } from '../evidence/index.js';
 import type { PlanInput, VersionCandidate } from './types.js';
 
 const TOKENS_PER_PRICE_UNIT = 1_000_000;
 
-/** A candidate with the request's figures. */
+/** A candidate with its estimates for the request. */
 export interface CandidateEstimate {
   readonly candidate: VersionCandidate;
   readonly evidence: QualityEvidence;
@@ -18,7 +18,6 @@
   return (prompt + answer) / TOKENS_PER_PRICE_UNIT;
 };
 
-/** Estimates one candidate. */
 export const estimateCandidate = (
   candidate: VersionCandidate,
   input: PlanInput,
--- a/packages/policy/src/modelChoice/constants.ts
+++ b/packages/policy/src/modelChoice/constants.ts
@@ -1,7 +1,7 @@
-/** Settings of the model choice. */
+/** Default settings of the model choice. */
 import type { ChoiceSettings } from './types.js';
 
-/** Settings in force. Earlier ones are kept by the bench. */
+/** The settings in force. The bench keeps earlier ones. */
 export const defaultChoiceSettings: ChoiceSettings = {
   confidence: 0.7,
   strictConfidence: 0.8,
--- a/packages/policy/src/modelChoice/escalationQuality.ts
+++ b/packages/policy/src/modelChoice/escalationQuality.ts
@@ -1,13 +1,13 @@
 /**
- * Quality of answers after an escalation. The prompts that a cheap version fails on are harder than
- * the average, so the dearer version's mean over all prompts promises too much: cascades would miss
- * the target although every version looked proven. Until escalated answers have been rated, a
- * share of the dearer version's failures is assumed to lie among the escalated prompts.
+ * Quality of answers after an escalation. Prompts on which a cheap version fails are harder than
+ * average, so the more expensive version's mean over all prompts is too optimistic: cascades would
+ * miss the target although every version looked proven. Until escalated answers have been rated,
+ * part of the expensive version's failures is assumed to fall on the escalated prompts.
  */
 import type { CandidateEstimate } from './candidateEstimate.js';
 import type { ChoiceSettings } from './types.js';
 
-/** A mean with the variance of its estimate. */
+/** A mean and the variance of its estimate. */
 export interface MeanEstimate {
   readonly mean: number;
   readonly variance: number;
@@ -20,7 +20,7 @@
   return mean - correlation * (mean - worst);
 };
 
-/** The expected rating of the next version on escalated prompts. */
+/** Estimates the rating of the next version on escalated prompts. */
 export const estimateEscalation = (
   next: CandidateEstimate,
   escalateShare: number,
--- a/packages/policy/src/modelChoice/explore.ts
+++ b/packages/policy/src/modelChoice/explore.ts
@@ -1,12 +1,12 @@
-/** Tries versions with too little evidence, in one of several modes. */
+/** Explores versions with too little evidence, in the configured mode. */
 import type { VersionId } from '@snipehaven/common';
 import type { CandidateEstimate } from './candidateEstimate.js';
 import { planExploration } from './planExploration.js';
 import type { PlanOption } from './planOption.js';
-import { chooseShadow } from './shadowExploration.js';
+import { chooseShadowVersion } from './shadowExploration.js';
 import type { ChoiceSettings, ExplorationMode, PlanInput } from './types.js';
 
-/** What exploration changes about a plan; mostly nothing. */
+/** Changes that exploration makes to a plan; usually none. */
 export interface Exploration {
   readonly option?: PlanOption;
   readonly shadowVersion?: VersionId;
@@ -25,11 +25,10 @@
     return option ? { option } : {};
   },
   shadow: (...parameters) => {
-    const shadowVersion = chooseShadow(...parameters);
+    const shadowVersion = chooseShadowVersion(...parameters);
     return shadowVersion ? { shadowVersion } : {};
   },
 };
 
-/** Explores as the settings say. */
 export const explore: Explorer = (option, estimates, input, settings) =>
   explorers[settings.explorationMode](option, estimates, input, settings);
--- a/packages/policy/src/modelChoice/planExploration.ts
+++ b/packages/policy/src/modelChoice/planExploration.ts
@@ -1,19 +1,19 @@
 /**
- * Exploration: now and then a version with too little evidence tries first, rated before release.
- * Only answers that score well are released, so that learning about a bad version costs money and
- * time, but hardly quality.
+ * Exploration by cascade: for a fraction of the requests, a version with too little evidence
+ * answers first and is rated before release. Only answers with a good score are released, so trying
+ * a bad version costs money and time, but hardly any quality.
  */
 import type { CandidateEstimate } from './candidateEstimate.js';
 import type { PlanOption } from './planOption.js';
 import type { ChoiceSettings, PlanInput } from './types.js';
 
-const mayExplore = (input: PlanInput): boolean =>
+const canExplore = (input: PlanInput): boolean =>
   input.team.allowsExploration &&
   input.team.allowsCascade &&
   !input.team.isStrict &&
   input.isRaterUp;
 
-const listUnknown = (
+const listUnproven = (
   option: PlanOption,
   estimates: readonly CandidateEstimate[],
   settings: ChoiceSettings,
@@ -24,18 +24,18 @@
       estimate.candidate.evidence.weight < settings.minProvenWeight,
   );
 
-/** Puts an unknown version before the chosen plan, for a small share of requests. */
+/** Puts an unproven version before the chosen plan, for a small fraction of requests. */
 export const planExploration = (
   option: PlanOption,
   estimates: readonly CandidateEstimate[],
   input: PlanInput,
   settings: ChoiceSettings,
 ): PlanOption | undefined => {
-  if (!mayExplore(input) || input.random.next() >= settings.explorationShare) {
+  if (!canExplore(input) || input.random.next() >= settings.explorationShare) {
     return undefined;
   }
-  const unknown = listUnknown(option, estimates, settings);
-  const tried = unknown[input.random.nextInt(unknown.length)];
+  const unproven = listUnproven(option, estimates, settings);
+  const tried = unproven[input.random.nextInt(unproven.length)];
   const last = option.steps[option.steps.length - 1];
   if (!tried || !last) {
     return undefined;
--- a/packages/policy/src/modelChoice/planOption.ts
+++ b/packages/policy/src/modelChoice/planOption.ts
@@ -1,4 +1,4 @@
-/** Plans to choose from: direct answers and cascades of two versions. */
+/** Candidate plans: direct answers and cascades of two versions. */
 import {
   getBinScore,
   getNormalQuantile,
@@ -9,17 +9,17 @@
 import { estimateEscalation, type MeanEstimate } from './escalationQuality.js';
 import type { ChoiceSettings, PlanInput, PlanStep } from './types.js';
 
-/** One way to answer the request, with what is expected of it. */
+/** A candidate plan with its estimates. */
 export interface PlanOption {
   readonly steps: readonly PlanStep[];
   readonly costMicroUsd: number;
   readonly expectedMs: number;
-  /** Time if every step is needed. */
+  /** Duration if every step is needed. */
   readonly worstMs: number;
   readonly qualityLowerBound: number;
 }
 
-/** The plan that asks one version. */
+/** Creates the plan that asks a single version. */
 export const createDirectOption = (
   estimate: CandidateEstimate,
   confidence: number,
@@ -33,7 +33,9 @@
 
 interface AcceptedPart {
   readonly acceptShare: number;
-  /** Sum of probability times score, and times its square, over the accepted scores. */
+  /**
+   * Sums over the accepted scores: probability times score, and probability times squared score.
+   */
   readonly scoreMass: number;
   readonly squareMass: number;
 }
@@ -63,7 +65,7 @@
   return mean - getNormalQuantile(confidence) * deviation;
 };
 
-/** The request's fixed figures that all its cascades share. */
+/** Inputs shared by all cascades of the request. */
 export interface CascadeContext {
   readonly input: PlanInput;
   readonly settings: ChoiceSettings;
@@ -93,7 +95,10 @@
   };
 };
 
-/** The cascades of two versions, one for each score from which on the first answer is released. */
+/**
+ * Lists the cascades of two versions, one for each minimum score at which the first answer is
+ * released.
+ */
 export const listCascadeOptions = (
   first: CandidateEstimate,
   next: CandidateEstimate,
--- a/packages/policy/src/modelChoice/planRequest.test.ts
+++ b/packages/policy/src/modelChoice/planRequest.test.ts
@@ -30,7 +30,7 @@
 
 const cheap = createCandidate('cheap', 1, 0.7, 1_000);
 const middle = createCandidate('middle', 5, 0.9, 1_000);
-const dear = createCandidate('dear', 25, 0.99, 1_000);
+const expensive = createCandidate('dear', 25, 0.99, 1_000);
 
 const createInput = (changes: Partial<PlanInput> = {}): PlanInput => ({
   task: 'triage',
@@ -41,7 +41,7 @@
     allowsExploration: true,
     weights: { cost: 1, latency: 0, exposure: 0 },
   },
-  candidates: [cheap, middle, dear],
+  candidates: [cheap, middle, expensive],
   promptTokens: 2_000,
   expectedCompletionTokens: 300,
   ratingCostMicroUsd: 30,
@@ -63,7 +63,7 @@
   assert.is(plan.steps[0]?.version, cheap.version);
 });
 
-test('no cascade without the rater, without leave, or without time for both answers', () => {
+test('no cascade without the rater, without permission, or without time for both answers', () => {
   const inputs = [
     createInput({ isRaterUp: false }),
     withTeam({ allowsCascade: false }),
@@ -76,38 +76,38 @@
   });
 });
 
-test('without any evidence the dearest version answers', () => {
-  const candidates = [cheap, middle, dear].map((candidate) => ({
+test('without any evidence the most expensive version answers', () => {
+  const candidates = [cheap, middle, expensive].map((candidate) => ({
     ...candidate,
     evidence: noEvidence,
   }));
   const plan = planRequest(createInput({ candidates }));
   assert.is(plan.reason, 'noEvidence');
-  assert.equal(plan.steps, [{ version: dear.version }]);
+  assert.equal(plan.steps, [{ version: expensive.version }]);
 });
 
-test('a target out of reach gets the best version', () => {
+test('the best version answers when the target cannot be reached', () => {
   const plan = planRequest(withTeam({ qualityTarget: 0.99 }));
   assert.is(plan.reason, 'bestAvailable');
-  assert.is(plan.steps[plan.steps.length - 1]?.version, dear.version);
+  assert.is(plan.steps[plan.steps.length - 1]?.version, expensive.version);
 });
 
 test('a session keeps its version', () => {
-  const candidates = [cheap, { ...middle, isPinned: true }, dear];
+  const candidates = [cheap, { ...middle, isPinned: true }, expensive];
   assert.equal(planRequest(createInput({ candidates })).steps, [{ version: middle.version }]);
 });
 
-test('without candidates there is no step', () => {
+test('without candidates the plan has no steps', () => {
   assert.equal(planRequest(createInput({ candidates: [] })).steps, []);
 });
 
-test('unknown versions are tried in the shadow only, and only where the team allows it', () => {
-  const candidates = [{ ...cheap, evidence: noEvidence }, dear];
+test('unproven versions only answer in the shadow, and only if the team allows it', () => {
+  const candidates = [{ ...cheap, evidence: noEvidence }, expensive];
   const random = createRandom(5);
   const listShadows = (changes: Partial<PlanInput>): readonly VersionId[] =>
     Array.from({ length: 200 }).flatMap(() => {
       const plan = planRequest(createInput({ candidates, random, isIdempotent: true, ...changes }));
-      assert.equal(plan.steps, [{ version: dear.version }]);
+      assert.equal(plan.steps, [{ version: expensive.version }]);
       return plan.shadowVersion ?? [];
     });
   assert.ok(listShadows({}).length > 10);
@@ -115,7 +115,7 @@
   assert.is(listShadows({ team: withTeam({ allowsExploration: false }).team }).length, 0);
 });
 
-test('a plan uses candidates only, ends without a condition, and meets the target or says so', () => {
+test('a plan only uses candidates, its last step is unconditional, and it meets the target or says that it does not', () => {
   const shareArbitrary = fc.double({ min: 0, max: 1, noNaN: true });
   fc.assert(
     fc.property(
--- a/packages/policy/src/modelChoice/planRequest.ts
+++ b/packages/policy/src/modelChoice/planRequest.ts
@@ -1,4 +1,6 @@
-/** Chooses the plan of least expected cost among those that meet the team's target. */
+/**
+ * Chooses the plan with the lowest expected cost among those that meet the team's quality target.
+ */
 import { estimateCandidate, type CandidateEstimate } from './candidateEstimate.js';
 import { defaultChoiceSettings } from './constants.js';
 import { explore } from './explore.js';
@@ -19,14 +21,17 @@
 
 type Objective = (costMicroUsd: number, expectedMs: number) => number;
 
-/** Cost and time on one scale: 1 is the cost of the dearest candidate at full weight. */
+/**
+ * Combines cost and latency into one objective. The cost of the most expensive candidate counts as
+ * 1 at full weight.
+ */
 const createObjective = (
   input: PlanInput,
   settings: ChoiceSettings,
-  dearestMicroUsd: number,
+  highestMicroUsd: number,
 ): Objective => {
   const { cost, latency } = input.team.weights;
-  const costScale = Math.max(dearestMicroUsd, 1);
+  const costScale = Math.max(highestMicroUsd, 1);
   return (costMicroUsd, expectedMs) =>
     (cost * costMicroUsd) / costScale + (latency * expectedMs) / settings.latencyScaleMs;
 };
@@ -34,7 +39,10 @@
 const getValue = (option: PlanOption, objective: Objective): number =>
   objective(option.costMicroUsd, option.expectedMs);
 
-/** Cascades that could beat the value: even without any escalation the first version costs so much. */
+/**
+ * Lists the cascades that could beat the value. A first version is skipped if its cost alone,
+ * without any escalation, already exceeds it.
+ */
 const listCascades = (
   estimates: readonly CandidateEstimate[],
   input: PlanInput,
@@ -47,11 +55,11 @@
   }
   const context = { input, settings, confidence: getConfidence(input, settings) };
   const proven = estimates.filter(({ evidence }) => evidence.weight >= settings.minProvenWeight);
-  const canWin = (first: CandidateEstimate): boolean =>
+  const canBeatDirect = (first: CandidateEstimate): boolean =>
     objective(first.costMicroUsd + input.ratingCostMicroUsd, first.durationMs + input.ratingMs) <
     valueToBeat;
   return proven
-    .filter(canWin)
+    .filter(canBeatDirect)
     .flatMap((first) =>
       proven
         .filter((next) => next.costMicroUsd > first.costMicroUsd)
@@ -59,7 +67,7 @@
     );
 };
 
-const pickLeast = <Item>(
+const minBy = <Item>(
   items: readonly Item[],
   getItemValue: (item: Item) => number,
 ): Item | undefined => {
@@ -99,8 +107,8 @@
   return Math.max(least, (settings.ratingCostShare * estimate.costMicroUsd) / ratingCost);
 };
 
-/** Whether to spend a rating on the released answer, so that evidence grows and drift shows. */
-const decideRating = (
+/** Whether to rate the released answer, so that evidence accumulates and drift is detected. */
+const shouldRateAnswer = (
   estimate: CandidateEstimate | undefined,
   input: PlanInput,
   settings: ChoiceSettings,
@@ -109,21 +117,24 @@
   input.isRaterUp &&
   input.random.next() < getRatingShare(estimate, input, settings);
 
-/** The best plan when none is sure to meet the target: the best proven, else the dearest. */
+/**
+ * Returns the fallback when no plan is certain to meet the target: the plan with the best lower
+ * bound or, without any evidence, the most expensive one.
+ */
 const planFallback = (
   estimates: readonly CandidateEstimate[],
   directOptions: readonly PlanOption[],
 ): readonly [PlanOption, PlanReason] | undefined => {
   const hasEvidence = estimates.some((estimate) => estimate.evidence.weight > 0);
   if (hasEvidence) {
-    const best = pickLeast(directOptions, (option) => -option.qualityLowerBound);
+    const best = minBy(directOptions, (option) => -option.qualityLowerBound);
     return best && [best, 'bestAvailable'];
   }
-  const dearest = pickLeast(directOptions, (option) => -option.costMicroUsd);
-  return dearest && [dearest, 'noEvidence'];
+  const mostExpensive = minBy(directOptions, (option) => -option.costMicroUsd);
+  return mostExpensive && [mostExpensive, 'noEvidence'];
 };
 
-const getDearestCost = (estimates: readonly CandidateEstimate[]): number =>
+const getHighestCost = (estimates: readonly CandidateEstimate[]): number =>
   Math.max(...estimates.map((estimate) => estimate.costMicroUsd));
 
 const chooseOption = (
@@ -132,11 +143,11 @@
   settings: ChoiceSettings,
 ): readonly [PlanOption, PlanReason] | undefined => {
   const confidence = getConfidence(input, settings);
-  const objective = createObjective(input, settings, getDearestCost(estimates));
+  const objective = createObjective(input, settings, getHighestCost(estimates));
   const isSufficient = (option: PlanOption): boolean =>
     option.qualityLowerBound >= input.team.qualityTarget && option.worstMs <= input.remainingMs;
   const pickBest = (options: readonly PlanOption[]): PlanOption | undefined =>
-    pickLeast(options.filter(isSufficient), (option) => getValue(option, objective));
+    minBy(options.filter(isSufficient), (option) => getValue(option, objective));
 
   const directOptions = estimates.map((estimate) => createDirectOption(estimate, confidence));
   const direct = pickBest(directOptions);
@@ -156,7 +167,7 @@
   return pinned && [createDirectOption(pinned, settings.confidence), 'pinned'];
 };
 
-/** Plans how one request is answered. A session's pin goes before everything else. */
+/** Plans how a request is answered. A version pinned by the session takes precedence. */
 export const planRequest = (input: PlanInput): RequestPlan => {
   const settings = input.settings ?? defaultChoiceSettings;
   const estimates = input.candidates.map((candidate) => estimateCandidate(candidate, input));
@@ -169,7 +180,7 @@
   const final = explored.option ?? option;
   const last = final.steps[final.steps.length - 1];
   const answering = estimates.find((estimate) => estimate.candidate.version === last?.version);
-  const shouldRate = decideRating(answering, input, settings);
+  const shouldRate = shouldRateAnswer(answering, input, settings);
   const plan = toPlan(final, explored.option ? 'exploration' : reason, shouldRate);
   return explored.shadowVersion ? { ...plan, shadowVersion: explored.shadowVersion } : plan;
 };
--- a/packages/policy/src/modelChoice/shadowExploration.ts
+++ b/packages/policy/src/modelChoice/shadowExploration.ts
@@ -1,13 +1,17 @@
 /**
- * Exploration in the shadow: an unknown version answers beside the plan's, and is only rated. No
- * caller waits for it or gets its answer, so that strict tasks can learn of cheaper versions too.
+ * Exploration in the shadow: an unproven version answers in parallel with the plan, and its answer
+ * is only rated. No caller waits for it or receives it, so strict tasks can learn about cheaper
+ * versions too.
  */
 import type { VersionId } from '@snipehaven/common';
 import type { CandidateEstimate } from './candidateEstimate.js';
 import type { PlanOption } from './planOption.js';
 import type { ChoiceSettings, PlanInput } from './types.js';
 
-/** Versions cheaper than the dearest of the plan, which could replace a part of it. */
+/**
+ * Lists versions that are cheaper than the most expensive one of the plan and could replace part of
+ * it.
+ */
 const listReplacements = (
   option: PlanOption,
   estimates: readonly CandidateEstimate[],
@@ -16,13 +20,14 @@
   const plannedCosts = estimates
     .filter(({ candidate }) => planned.has(candidate.version))
     .map(({ costMicroUsd }) => costMicroUsd);
-  const dearest = Math.max(0, ...plannedCosts);
+  const highestPlannedCost = Math.max(0, ...plannedCosts);
   return estimates.filter(
-    ({ candidate, costMicroUsd }) => costMicroUsd < dearest && !planned.has(candidate.version),
+    ({ candidate, costMicroUsd }) =>
+      costMicroUsd < highestPlannedCost && !planned.has(candidate.version),
   );
 };
 
-/** How much is still to be learnt of a version, from 1 to 0. */
+/** Returns how much is still to be learned about a version, from 1 down to 0. */
 const getNovelty = (estimate: CandidateEstimate, settings: ChoiceSettings): number => {
   const direct = estimate.candidate.evidence.weight;
   const escalated = estimate.candidate.escalatedEvidence?.weight ?? 0;
@@ -30,8 +35,10 @@
   return Math.max(0, 1 - weight / settings.sufficientWeight);
 };
 
-/** The chance to try the version, within what may be spent of the plan's cost. */
-const getTrialShare = (
+/**
+ * Returns the probability of trying the version, limited by the budget relative to the plan's cost.
+ */
+const getTrialProbability = (
   tried: CandidateEstimate,
   option: PlanOption,
   input: PlanInput,
@@ -42,8 +49,8 @@
   return Math.min(settings.explorationShare, affordable) * getNovelty(tried, settings);
 };
 
-/** The version to try in the shadow of this request, if any. */
-export const chooseShadow = (
+/** Returns the version to try in the shadow of this request, if any. */
+export const chooseShadowVersion = (
   option: PlanOption,
   estimates: readonly CandidateEstimate[],
   input: PlanInput,
@@ -54,6 +61,7 @@
   }
   const replacements = listReplacements(option, estimates);
   const tried = replacements[input.random.nextInt(replacements.length)];
-  const isTried = tried && input.random.next() < getTrialShare(tried, option, input, settings);
+  const isTried =
+    tried && input.random.next() < getTrialProbability(tried, option, input, settings);
   return isTried ? tried.candidate.version : undefined;
 };
