--- a/packages/policy/src/modelChoice/types.ts
+++ b/packages/policy/src/modelChoice/types.ts
@@ -1,8 +1,11 @@
-/** Model choice: which version answers a request, and whether a cheaper one may try first. */
+/**
+ * Types of the model choice: which version answers a request, and whether a cheaper one is tried
+ * first.
+ */
 import type { Random, VersionId } from '@snipehaven/common';
 import type { PriorQuality, QualityEvidence } from '../evidence/index.js';
 
-/** What a team weighs, each from 0 to 1. */
+/** A team's preferences, each from 0 to 1. */
 export interface TeamWeights {
   readonly cost: number;
   readonly latency: number;
@@ -11,34 +14,34 @@
 
 /** The team's settings for the request's task. */
 export interface TeamChoiceSettings {
-  /** Mean rating that the answers must reach, 0 to 1. */
+  /** Mean rating that the answers must reach, from 0 to 1. */
   readonly qualityTarget: number;
-  /** Strict tasks never explore and run on proven versions only. */
+  /** Strict tasks are never explored and only run on proven versions. */
   readonly isStrict: boolean;
   readonly allowsCascade: boolean;
   readonly allowsExploration: boolean;
   readonly weights: TeamWeights;
 }
 
-/** A version that may answer: permitted, not withdrawn, not quarantined. */
+/** A version that may answer: allowed, not withdrawn and not quarantined. */
 export interface VersionCandidate {
   readonly version: VersionId;
   readonly inputMicroUsdPerMillionTokens: number;
   readonly outputMicroUsdPerMillionTokens: number;
-  /** Pooled evidence of its direct answers; the prior is added to it by the choice. */
+  /** Pooled evidence of its direct answers, to which the choice adds the prior. */
   readonly evidence: QualityEvidence;
-  /** Pooled evidence of its answers after an escalation, where there is any. */
+  /** Pooled evidence of its answers after an escalation, if there are any. */
   readonly escalatedEvidence?: QualityEvidence;
-  /** The operators' expectation, unless it is already pooled into the evidence. */
+  /** The operators' expectation, unless the evidence already includes it. */
   readonly priorQuality?: PriorQuality;
-  /** Expected time to the first token, queueing included. */
+  /** Expected time to the first token, including queueing. */
   readonly firstTokenMs: number;
   readonly msPerToken: number;
-  /** The request's session runs on this version. */
+  /** Whether the request's session is pinned to this version. */
   readonly isPinned?: boolean;
 }
 
-/** All that the plan of one request depends on. */
+/** Input of the plan for one request. */
 export interface PlanInput {
   readonly task: string;
   readonly team: TeamChoiceSettings;
@@ -50,7 +53,7 @@
   /** Time until the request's deadline. */
   readonly remainingMs: number;
   readonly isRaterUp: boolean;
-  /** Only idempotent requests are run a second time in the shadow; absent means it is not. */
+  /** Only idempotent requests are executed a second time in the shadow; defaults to false. */
   readonly isIdempotent?: boolean;
   readonly random: Random;
   readonly settings?: ChoiceSettings;
@@ -59,30 +62,32 @@
 /** One version to ask. */
 export interface PlanStep {
   readonly version: VersionId;
-  /** Present: rate the answer before its release, and go on to the next step below this score. */
+  /**
+   * If present, the answer is rated before release, and a score below this leads to the next step.
+   */
   readonly acceptAboveScore?: number;
 }
 
-/** Why a plan was chosen. */
+/** Reason for the choice of a plan. */
 export type PlanReason =
   'pinned' | 'direct' | 'cascade' | 'exploration' | 'bestAvailable' | 'noEvidence' | 'noCandidate';
 
 /** How to answer a request. */
 export interface RequestPlan {
-  /** In order; empty only without any candidate. */
+  /** In order; empty only if there is no candidate. */
   readonly steps: readonly PlanStep[];
   readonly reason: PlanReason;
-  /** Answers and ratings, averaged over the chances of escalation. */
+  /** Expected cost of answers and ratings, averaged over the probability of escalation. */
   readonly expectedCostMicroUsd: number;
   readonly expectedMs: number;
   /** Lower confidence bound of the plan's mean rating. */
   readonly qualityLowerBound: number;
-  /** Whether to send the released answer to the rater, unless it was rated before its release. */
+  /** Whether to send the released answer to the rater, unless it was rated before release. */
   readonly shouldRateAfterRelease: boolean;
   /**
-   * Present: ask this version too, at the lowest priority and at the platform's expense; its answer
-   * is rated and never released. The rating counts as a direct one and, if the request escalates,
-   * as an escalated one too.
+   * If present, this version is asked as well, at the lowest priority and at the platform's
+   * expense; its answer is rated and never released. The rating counts as a direct one and, if the
+   * request escalates, also as an escalated one.
    */
   readonly shadowVersion?: VersionId;
 }
@@ -90,36 +95,44 @@
 /** How versions with too little evidence are tried. */
 export type ExplorationMode = 'cascade' | 'shadow';
 
-/** Settings of the model choice. */
 export interface ChoiceSettings {
-  /** Confidence at which a plan must meet the team's target. */
+  /** Confidence with which a plan must meet the team's target. */
   readonly confidence: number;
   readonly strictConfidence: number;
-  /** Ratings that make a version usable as the first of a cascade. */
+  /** Number of ratings from which a version may be used in a cascade. */
   readonly minProvenWeight: number;
   readonly explorationMode: ExplorationMode;
-  /** Share of requests that try a version with too little evidence. */
+  /** Fraction of requests that try a version with too little evidence. */
   readonly explorationShare: number;
-  /** Part of the plan's expected cost that the shadow mode may spend; it explores dear plans more. */
+  /**
+   * Fraction of the plan's expected cost that the shadow mode may spend; expensive plans are
+   * explored more.
+   */
   readonly explorationCostShare: number;
-  /** Ratings of a version at which the shadow mode tries it no more. */
+  /** Number of ratings from which the shadow mode no longer tries a version. */
   readonly sufficientWeight: number;
-  /** Score above which an explored version's answer is released. */
+  /** Minimum score at which an explored version's answer is released. */
   readonly explorationAcceptScore: number;
-  /** Latency that weighs as much as the dearest candidate's cost. */
+  /** Latency that weighs as much as the cost of the most expensive candidate. */
   readonly latencyScaleMs: number;
-  /** Share of answers rated after their release, at least, to notice drift. */
+  /** Minimum fraction of answers that are rated after release, to detect drift. */
   readonly ratingShare: number;
-  /** Part of an answer's cost that may be spent on rating it: dear answers are rated more often. */
+  /**
+   * Fraction of an answer's cost that may be spent on rating it; expensive answers are rated more
+   * often.
+   */
   readonly ratingCostShare: number;
-  /** The same while the team's own evidence is thinner than `wellProvenWeight`. */
+  /**
+   * Minimum fraction of rated answers while the team's own evidence is below `wellProvenWeight`.
+   */
   readonly unprovenRatingShare: number;
   readonly wellProvenWeight: number;
   /**
-   * From 0, versions fail on unrelated prompts, to 1, the dearer one's failures all lie among the
-   * prompts on which the cheaper one failed. Used until escalated answers have been rated.
+   * From 0, where versions fail on unrelated prompts, to 1, where all failures of the more
+   * expensive version are among the prompts on which the cheaper one fails. Used until escalated
+   * answers have been rated.
    */
   readonly escalationCorrelation: number;
-  /** How many ratings that assumption counts for. */
+  /** Number of ratings that this assumption is worth. */
   readonly escalationPriorWeight: number;
 }
--- a/packages/policy/src/retry/decideRetry.test.ts
+++ b/packages/policy/src/retry/decideRetry.test.ts
@@ -1,4 +1,4 @@
-/** Retries: only where a second run can do no harm, within budget and deadline. */
+/** Retries happen only where a second execution is harmless, and within budget and deadline. */
 import { createRandom } from '@snipehaven/common';
 import fc from 'fast-check';
 import { test } from 'uvu';
@@ -20,9 +20,9 @@
 
 const decide = (more: Partial<RetryInput>) => decideRetry({ ...INPUT, ...more }, createRandom(1));
 
-// Symptom: a tag doubled. Sequence: the connection breaks after the request went out; it is sent
-// again. Cause: a broken connection taken for proof that nothing ran.
-test('a request that may have run is repeated only if it is idempotent', () => {
+// Guards against duplicate effects: the connection breaks after the request was sent, the break is
+// taken as proof that nothing ran, and the request is sent again.
+test('a request that may have run is retried only if it is idempotent', () => {
   fc.assert(
     fc.property(
       fc.constantFrom('unknown' as const, 'ran' as const),
@@ -35,7 +35,7 @@
   );
 });
 
-test('spills to the same model, then the next, then another data centre', () => {
+test('falls back to the same model, then the next one, then another data centre', () => {
   const targetOf = (openTargets: RetryInput['openTargets']) => {
     const decision = decide({ openTargets });
     return decision.kind === 'retry' ? decision.target : decision.reason;
@@ -46,7 +46,7 @@
   assert.is(targetOf([]), 'noTarget');
 });
 
-test('gives up at once without budget, time or attempts left', () => {
+test('gives up at once when no budget, time or attempts are left', () => {
   const reasonOf = (more: Partial<RetryInput>) => {
     const decision = decide(more);
     return decision.kind === 'giveUp' ? decision.reason : undefined;
@@ -57,7 +57,7 @@
   assert.is(reasonOf({ hasAnswerStarted: true }), 'answerStarted');
 });
 
-test('retries stay a tenth of the requests, but for the tokens at the start', () => {
+test('retries stay within a tenth of the requests plus the initial budget', () => {
   let budget = createRetryBudget();
   let retries = 0;
   for (let request = 0; request < 1_000; request += 1) {
--- a/packages/policy/src/retry/index.ts
+++ b/packages/policy/src/retry/index.ts
@@ -1,4 +1,4 @@
-/** Whether a failed attempt is tried again, and where. */
+/** Decides whether and where a failed attempt is retried. */
 export * from './decideRetry.js';
 export * from './retryBudget.js';
 export * from './types.js';
--- a/packages/policy/src/retry/types.ts
+++ b/packages/policy/src/retry/types.ts
@@ -1,32 +1,35 @@
-/** What the decision to try again reads and answers. */
+/** Types of the retry decision. */
 
-/** Whether an attempt ran at the upstream, by the evidence at hand. */
+/** Whether the upstream executed an attempt, as far as known. */
 export type AttemptVerdict = 'notRun' | 'unknown' | 'ran';
 
-/** Where a further attempt can go, in the order of preference. */
+/** Targets of a further attempt, in order of preference. */
 export type SpillTarget = 'sameModel' | 'nextModel' | 'otherDataCentre';
 
-/** Tokens that retries use up and requests bring in. */
+/** Token bucket that requests credit and retries debit. */
 export interface RetryBudget {
   readonly tokens: number;
 }
 
-/** One failed attempt, or a request for which no upstream had room. */
+/** A failed attempt, or a request for which no upstream had capacity. */
 export interface RetryInput {
   readonly verdict: AttemptVerdict;
   readonly isIdempotent: boolean;
-  /** Bytes of the answer have gone to the caller: it can be resumed but not run again. */
+  /**
+   * Part of the answer has been sent to the caller, so the request can be resumed but not run
+   * again.
+   */
   readonly hasAnswerStarted: boolean;
-  /** Attempts made so far, the failed one included. */
+  /** Number of attempts so far, including the failed one. */
   readonly attempts: number;
   readonly budget: RetryBudget;
-  /** Until the caller's deadline. */
+  /** Time until the caller's deadline. */
   readonly remainingMs: number;
-  /** The least that a further attempt is expected to need. */
+  /** Minimum expected duration of a further attempt. */
   readonly expectedMs: number;
-  /** Wait that the upstream asked for; 0 without. */
+  /** Delay that the upstream asked for; 0 if it asked for none. */
   readonly retryAfterMs: number;
-  /** Which targets have an upstream that the team allows and that has room. */
+  /** Targets that have an upstream with free capacity which the team may use. */
   readonly openTargets: readonly SpillTarget[];
 }
 
@@ -34,7 +37,7 @@
 export type GiveUpReason =
   'mayHaveRun' | 'answerStarted' | 'attemptsUsed' | 'deadline' | 'budgetUsed' | 'noTarget';
 
-/** What to do after a failed attempt. Giving up means a final answer now. */
+/** Decision after a failed attempt. Giving up means that the caller gets its final answer now. */
 export type RetryDecision =
   | {
       readonly kind: 'retry';
--- a/packages/policy/src/rollout/assignRollout.ts
+++ b/packages/policy/src/rollout/assignRollout.ts
@@ -7,7 +7,7 @@
 const isLastStage = (input: AssignmentInput): boolean =>
   input.progress.stage >= input.definition.stages.length - 1;
 
-/** Teams that weigh exposure more than this wait for the last stage. */
+/** Teams with a higher exposure weight than this only take part in the last stage. */
 const MAX_EARLY_EXPOSURE_WEIGHT = 0.5;
 
 const acceptsEarlyStages = ({ audience }: AssignmentInput): boolean =>
@@ -19,8 +19,8 @@
   isLastStage(input) || acceptsEarlyStages(input);
 
 /**
- * Without a grant a daemon exposes nothing. If each daemon were allowed a few answers of its own,
- * 400 of them would expose thousands before the first rating came back.
+ * A daemon without a grant exposes no requests. If each daemon were allowed a few answers of its
+ * own, 400 daemons would expose thousands of answers before the first rating is known.
  */
 const findGrantReason = (input: AssignmentInput): AssignmentReason | undefined => {
   if (input.grant?.rolloutId !== input.definition.rolloutId) {
@@ -51,7 +51,7 @@
 const isWithinShare = (input: AssignmentInput, sharePct: number): boolean =>
   input.random.next() * FULL_PCT < sharePct;
 
-/** The caller gets the stable version's answer; the candidate's is only rated. */
+/** The caller gets the stable version's answer; the candidate's answer is only rated. */
 const assignShadow = (input: AssignmentInput): RolloutAssignment => {
   const { shadowSharePct } = input.settings ?? defaultRolloutSettings;
   if (!input.isIdempotent) {
@@ -89,7 +89,10 @@
   finished: (input) => assignCandidate(input, 'finished', 0),
 };
 
-/** Decides for a new session or a sessionless request; requests within a session keep theirs. */
+/**
+ * Assigns a new session or a sessionless request. Requests within a session keep the session's
+ * version.
+ */
 export const assignRollout = (input: AssignmentInput): RolloutAssignment =>
   input.definition.isPaused && input.progress.phase !== 'finished'
     ? assignStable(input, 'notRunning')
--- a/packages/policy/src/rollout/constants.ts
+++ b/packages/policy/src/rollout/constants.ts
@@ -1,7 +1,7 @@
-/** Settings of roll-outs. */
+/** Default settings of roll-outs. */
 import type { RolloutSettings } from './types.js';
 
-/** Settings in force. Earlier ones are kept by the bench. */
+/** The settings in force. The bench keeps earlier ones. */
 export const defaultRolloutSettings: RolloutSettings = {
   quarantineAlpha: 0.01,
   advanceAlpha: 0.1,
--- a/packages/policy/src/rollout/evaluateGuard.test.ts
+++ b/packages/policy/src/rollout/evaluateGuard.test.ts
@@ -1,4 +1,4 @@
-/** The guard's error rates and verdicts, by fixed seeds. */
+/** Error rates and verdicts of the guard, with fixed random seeds. */
 import { createRandom, type Random } from '@snipehaven/common';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -13,8 +13,8 @@
 import { createDefinition } from './testHelpers.js';
 
 const RUNS = 100;
-const LOOKS = 40;
-const ANSWERS_PER_LOOK = 10;
+const EVALUATIONS = 40;
+const ANSWERS_PER_EVALUATION = 10;
 
 const drawScore = (badShare: number, random: Random): number =>
   random.next() < badShare ? 0.3 * random.next() : 0.7 + 0.3 * random.next();
@@ -32,14 +32,17 @@
 const definition = createDefinition();
 const progress = startProgress(definition, 1, 0);
 
-/** Looks after each batch, as a holder does, and tells whether any look quarantined. */
+/**
+ * Evaluates the guard after each batch, as the lease holder does, and returns whether any
+ * evaluation quarantines the candidate.
+ */
 const isEverQuarantined = (badShare: number, random: Random): boolean => {
   const stable = drawCounts(0.1, 400, random);
   let candidate = createEmptyCounts();
   let pairs: PairShare = { source: 'a', counts: emptyPairCounts() };
-  for (let look = 0; look < LOOKS; look += 1) {
-    candidate = addCounts(candidate, drawCounts(badShare, ANSWERS_PER_LOOK, random));
-    for (let pair = 0; pair < ANSWERS_PER_LOOK; pair += 1) {
+  for (let look = 0; look < EVALUATIONS; look += 1) {
+    candidate = addCounts(candidate, drawCounts(badShare, ANSWERS_PER_EVALUATION, random));
+    for (let pair = 0; pair < ANSWERS_PER_EVALUATION; pair += 1) {
       pairs = addPair(pairs, drawScore(0.1, random), drawScore(badShare, random));
     }
     const strata = [{ candidate, stable }];
@@ -57,7 +60,7 @@
     .length;
 };
 
-test('a version as good as the stable one is hardly ever quarantined, however often one looks', () => {
+test('a version as good as the stable one is rarely quarantined, however often the guard runs', () => {
   assert.ok(countQuarantines(0.1) <= 2);
 });
 
@@ -65,7 +68,7 @@
   assert.is(countQuarantines(0.25 + 0.1), RUNS);
 });
 
-test('errors, empty, cut and slow answers each raise their own signal', () => {
+test('error, empty, truncated and slow answers each raise their own signal', () => {
   const stable = drawCounts(0.1, 400, createRandom(1));
   const cases = [
     ['error', { type: 'ended', end: 'error', isSlow: false }],
@@ -82,7 +85,7 @@
   });
 });
 
-test('the shadow phase is left by pairs that show the candidate within the margin', () => {
+test('the shadow phase ends when paired ratings show the candidate within the margin', () => {
   const random = createRandom(3);
   const shares = Array.from({ length: 1_500 }).reduce<PairShare>(
     (share) => addPair(share, drawScore(0.1, random), drawScore(0.1, random)),
--- a/packages/policy/src/rollout/evaluateGuard.ts
+++ b/packages/policy/src/rollout/evaluateGuard.ts
@@ -20,13 +20,13 @@
   RolloutSettings,
 } from './types.js';
 
-/** The signals that compare separate samples of both versions. */
+/** Signals that compare independent samples of both versions. */
 type SampleSignal = Exclude<GuardSignal, 'pair'>;
 
-/** Reads one signal's values out of the counts: 0 is good, 1 is bad. */
+/** Reads the histogram of one signal from the counts, where 0 is good and 1 is bad. */
 type SignalReader = (counts: OutcomeCounts) => readonly number[];
 
-/** Bins of a value that is either 0 or 1. */
+/** Histogram of a binary value. */
 const toBinaryBins = (badCount: number, totalCount: number): readonly number[] => {
   const bins = new Array<number>(SCORE_BIN_COUNT).fill(0);
   bins[0] = Math.max(0, totalCount - badCount);
@@ -44,14 +44,17 @@
 
 const sampleSignals = Object.keys(signalReaders) as readonly SampleSignal[];
 
-/** Log e-value up to which a stage may be left: a weak sign of trouble, seen in good versions too. */
-const MAX_SUSPICION = Math.log(3);
+/**
+ * Maximum log e-value at which a stage may advance. Good versions reach this weak evidence of a
+ * regression too.
+ */
+const MAX_ADVANCE_LOG_E_VALUE = Math.log(3);
 
 const MAX_MEAN = 0.99;
 const PSEUDO_COUNT = 1;
 const PSEUDO_VARIANCE = 0.25;
 
-/** The stable version's mean badness, raised for the uncertainty of its estimate. */
+/** Upper bound of the stable version's mean badness: the estimate plus `z` standard errors. */
 const getStableBound = (bins: readonly number[], z: number): number => {
   const count = sumBins(bins) + PSEUDO_COUNT;
   const variance = (getBinVariance(bins) * sumBins(bins) + PSEUDO_VARIANCE * PSEUDO_COUNT) / count;
@@ -106,7 +109,7 @@
   };
 };
 
-/** What an advance depends on. */
+/** The evidence that decides whether to advance. */
 interface AdvanceEvidence {
   readonly logEValue: number;
   readonly advanceLogEValue: number;
@@ -114,15 +117,18 @@
   readonly pairCount: number;
 }
 
-/** While callers are served, pairs are there only if the shadow phase was left by their verdict. */
+/**
+ * While callers are served, enough pairs exist only if the shadow phase ended by the result of the
+ * paired test.
+ */
 const hasPassedShadow = (evidence: AdvanceEvidence, settings: RolloutSettings): boolean =>
   evidence.pairCount >= settings.minShadowPairs;
 
-const mayLeaveShadow = (evidence: AdvanceEvidence, settings: RolloutSettings): boolean =>
+const canLeaveShadow = (evidence: AdvanceEvidence, settings: RolloutSettings): boolean =>
   evidence.pairCount >= settings.minShadowPairs &&
   evidence.advanceLogEValue >= Math.log(1 / settings.shadowAlpha);
 
-const mayLeaveStage = (
+const canLeaveStage = (
   input: GuardInput,
   evidence: AdvanceEvidence,
   settings: RolloutSettings,
@@ -145,11 +151,11 @@
   if (evidence.logEValue >= Math.log(1 / settings.quarantineAlpha)) {
     return 'quarantine';
   }
-  const mayLeave =
+  const canLeave =
     input.progress.phase === 'shadow'
-      ? mayLeaveShadow(evidence, settings)
-      : mayLeaveStage(input, evidence, settings);
-  return mayLeave && evidence.logEValue <= MAX_SUSPICION ? 'advance' : 'continue';
+      ? canLeaveShadow(evidence, settings)
+      : canLeaveStage(input, evidence, settings);
+  return canLeave && evidence.logEValue <= MAX_ADVANCE_LOG_E_VALUE ? 'advance' : 'continue';
 };
 
 const getStrongestSignal = (logEValues: Readonly<Record<GuardSignal, number>>): GuardSignal =>
@@ -157,7 +163,10 @@
     logEValues[b] > logEValues[a] ? b : a,
   );
 
-/** In the shadow the pairs speak; once callers are served, the ratings of separate samples too. */
+/**
+ * In the shadow phase only the paired test counts; once callers are served, the ratings of
+ * independent samples do.
+ */
 const getAdvanceEvidence = (
   input: GuardInput,
   settings: RolloutSettings,
@@ -174,7 +183,10 @@
   };
 };
 
-/** Evaluates the candidate. The result depends on counts only; it may be asked as often as wanted. */
+/**
+ * Evaluates the candidate. The result depends only on the counts, so the guard may run at any time
+ * and any number of times.
+ */
 export const evaluateGuard = (input: GuardInput): GuardResult => {
   const settings = input.settings ?? defaultRolloutSettings;
   const logEValues = getLogEValues(input, settings);
--- a/packages/policy/src/rollout/pairCounts.ts
+++ b/packages/policy/src/rollout/pairCounts.ts
@@ -1,32 +1,32 @@
 /**
- * Score differences of prompts that both versions answered. Hard prompts are hard for both, so that
- * the difference varies less than two separate samples do, and no estimate of the stable version
- * enters the test: its null hypothesis is a mean difference of zero.
+ * Score differences of prompts that both versions answered. A hard prompt is hard for both, so the
+ * difference varies less than two independent samples do. The test does not need an estimate of the
+ * stable version: its null hypothesis is a mean difference of zero.
  */
 import { getScoreBin, SCORE_BIN_COUNT } from '../evidence/index.js';
 
-/** One bin for each difference of two score bins, from -19 to 19. */
+/** One bin for each difference between two score bins, from -19 to 19. */
 export const PAIR_BIN_COUNT = 2 * SCORE_BIN_COUNT - 1;
 
 const EQUAL_BIN = SCORE_BIN_COUNT - 1;
 
-/** Pairs counted by one source; each count only ever grows. */
+/** Pairs counted by one source: its part of a grow-only counter. */
 export interface PairShare {
   readonly source: string;
   readonly counts: readonly number[];
 }
 
-/** Counts of no pairs. */
+/** Creates a histogram without counts. */
 export const emptyPairCounts = (): number[] => new Array<number>(PAIR_BIN_COUNT).fill(0);
 
-/** The bin of a pair; above the middle one the candidate is worse. */
+/** Returns the bin of a pair. In bins above the middle one, the candidate is worse. */
 export const getPairBin = (stableScore: number, candidateScore: number): number =>
   EQUAL_BIN + getScoreBin(stableScore) - getScoreBin(candidateScore);
 
-/** How much worse the candidate is in a bin, from -1 to 1. */
+/** Returns how much worse the candidate is in a bin, from -1 to 1. */
 export const getPairDifference = (bin: number): number => (bin - EQUAL_BIN) / SCORE_BIN_COUNT;
 
-/** Counts one pair; only the source itself may. */
+/** Counts one pair. Only the source itself may count under its name. */
 export const addPair = (
   share: PairShare,
   stableScore: number,
@@ -47,7 +47,7 @@
 const compareSources = (a: PairShare, b: PairShare): number =>
   a.source < b.source ? -1 : Number(a.source > b.source);
 
-/** Joins what two daemons know, by the maximum for each source. */
+/** Merges the counts known to two daemons by taking the maximum for each source. */
 export const mergePairShares = (
   a: readonly PairShare[],
   b: readonly PairShare[],
@@ -60,7 +60,6 @@
   return [...bySource.values()].sort(compareSources);
 };
 
-/** Sums the pairs of all sources. */
 export const foldPairShares = (shares: readonly PairShare[]): readonly number[] =>
   shares.reduce<readonly number[]>(
     (sum, share) => sum.map((count, bin) => count + (share.counts[bin] ?? 0)),
--- a/packages/policy/src/rollout/planGrants.ts
+++ b/packages/policy/src/rollout/planGrants.ts
@@ -1,7 +1,7 @@
 /**
- * The holder of a roll-out splits the exposure budget over daemons. Only a few daemons, chosen by
- * rendezvous hashing, get a grant while the budget is small; the answers out and not yet judged
- * stay within the budget in sum, however many daemons there are.
+ * Splits the exposure budget of a roll-out over the daemons; run by the lease holder. While the
+ * budget is small, only a few daemons, chosen by rendezvous hashing, get a grant. The sum of
+ * answers without a known outcome stays within the budget, however many daemons there are.
  */
 import { rankByRendezvous } from '@snipehaven/common';
 import { defaultRolloutSettings } from './constants.js';
@@ -13,22 +13,24 @@
   RolloutSettings,
 } from './types.js';
 
-/** Input of the split. */
 export interface GrantInput {
   readonly definition: RolloutDefinition;
   readonly progress: RolloutProgress;
-  /** Every daemon that ever had a grant, and all live ones. */
+  /** Every daemon that has ever held a grant, and all live ones. */
   readonly daemons: readonly DaemonExposure[];
-  /** Ratings of the candidate so far. */
+  /** Number of ratings of the candidate so far. */
   readonly ratingCount: number;
   readonly settings?: RolloutSettings;
 }
 
-/** Answers of a daemon that may be out without a known outcome; those of a dead one count too. */
+/**
+ * Number of a daemon's answers that may still be without a known outcome. Answers of dead daemons
+ * count too.
+ */
 const getUnjudgedCount = (daemon: DaemonExposure): number =>
   Math.max(0, Math.max(daemon.grantedCount, daemon.exposedCount) - daemon.judgedCount);
 
-/** Answers that may be out without a known outcome: the budget, more with growing evidence. */
+/** Limit on answers without a known outcome: the budget at first, more as evidence accumulates. */
 export const getExposureLimit = (
   definition: RolloutDefinition,
   ratingCount: number,
@@ -48,7 +50,7 @@
     .flatMap((incarnation) => byId.get(incarnation) ?? []);
 };
 
-/** The share of a chosen daemon makes up for those that were not chosen. */
+/** The chosen daemons get a larger share, which compensates for the daemons without a grant. */
 const getDaemonSharePct = (
   input: GrantInput,
   chosenCount: number,
@@ -60,8 +62,8 @@
   return Math.max(stagePct, Math.min(raised, settings.maxDaemonSharePct));
 };
 
-/** Splits what is free of the limit; daemons that used up their part are topped up first. */
-const splitFree = (
+/** Splits the unused part of the limit. Daemons that have used up their part are refilled first. */
+const splitFreeBudget = (
   chosen: readonly DaemonExposure[],
   free: number,
   limit: number,
@@ -76,7 +78,7 @@
   });
 };
 
-/** Grants for the chosen daemons; nothing for the others. */
+/** Returns grants for the chosen daemons; the others get none. */
 export const planGrants = (input: GrantInput): readonly ExposureGrant[] => {
   const settings = input.settings ?? defaultRolloutSettings;
   if (input.progress.phase !== 'running' || input.definition.isPaused) {
@@ -85,7 +87,7 @@
   const limit = getExposureLimit(input.definition, input.ratingCount, settings);
   const unjudged = input.daemons.reduce((sum, daemon) => sum + getUnjudgedCount(daemon), 0);
   const chosen = chooseDaemons(input, limit, settings);
-  const added = splitFree(chosen, Math.max(0, limit - unjudged), limit);
+  const added = splitFreeBudget(chosen, Math.max(0, limit - unjudged), limit);
   const sharePct = getDaemonSharePct(input, chosen.length, settings);
   return chosen.map((daemon, index) => ({
     rolloutId: input.definition.rolloutId,
--- a/packages/policy/src/rollout/progress.ts
+++ b/packages/policy/src/rollout/progress.ts
@@ -1,4 +1,4 @@
-/** Steps of a roll-out's state. All are written under the lease's fencing number. */
+/** State transitions of a roll-out. Each one is written under the fencing number of the lease. */
 import { defaultRolloutSettings } from './constants.js';
 import type {
   GuardResult,
@@ -8,7 +8,7 @@
   RolloutSettings,
 } from './types.js';
 
-/** The state of a roll-out that has just been declared. */
+/** Creates the state of a newly declared roll-out. */
 export const startProgress = (
   definition: RolloutDefinition,
   fence: number,
@@ -24,8 +24,8 @@
 });
 
 /**
- * The state under a new holder's lease, or undefined if a later holder has written already. The
- * stage goes on where it stopped; grants of earlier holders stay counted by the daemons' reports.
+ * Returns the state under a new holder's lease, or undefined if a later holder has already written.
+ * The current stage continues; grants of earlier holders remain counted in the daemons' reports.
  */
 export const resumeProgress = (
   progress: RolloutProgress,
@@ -53,8 +53,9 @@
 };
 
 /**
- * The state after the guard's verdict. Any daemon may apply a quarantine at once, for it is a safe
- * move; an advance counts only once the table has taken it under the holder's fence.
+ * Returns the state after a verdict of the guard. Any daemon may apply a quarantine immediately,
+ * because it is a safe move. An advance only counts once the platform's table has accepted it under
+ * the holder's fence.
  */
 export const applyVerdict = (
   definition: RolloutDefinition,
@@ -68,8 +69,8 @@
   if (result.verdict === 'quarantine') {
     return { ...progress, phase: 'quarantined' };
   }
-  const mayAdvance = result.verdict === 'advance' && !definition.isPaused;
-  return mayAdvance ? advance(definition, progress, result.ratingCount, nowMs) : progress;
+  const canAdvance = result.verdict === 'advance' && !definition.isPaused;
+  return canAdvance ? advance(definition, progress, result.ratingCount, nowMs) : progress;
 };
 
 const phaseRanks: Readonly<Record<RolloutPhase, number>> = {
@@ -79,7 +80,7 @@
   quarantined: 3,
 };
 
-/** Quarantine beats everything; otherwise a later fence does, then the later phase and stage. */
+/** A quarantine takes precedence over everything else, then the later fence, phase and stage. */
 const compareProgress = (a: RolloutProgress, b: RolloutProgress): number =>
   Number(a.phase === 'quarantined') - Number(b.phase === 'quarantined') ||
   a.fence - b.fence ||
@@ -88,6 +89,6 @@
   a.stageStartedAtMs - b.stageStartedAtMs ||
   a.ratingsAtStageStart - b.ratingsAtStageStart;
 
-/** Joins two views of one roll-out: commutative, associative and idempotent. */
+/** Merges two views of one roll-out. The operation is commutative, associative and idempotent. */
 export const joinProgress = (a: RolloutProgress, b: RolloutProgress): RolloutProgress =>
   compareProgress(a, b) >= 0 ? a : b;
--- a/packages/policy/src/rollout/rollout.test.ts
+++ b/packages/policy/src/rollout/rollout.test.ts
@@ -1,4 +1,4 @@
-/** Grants, assignments, and the state of roll-outs. */
+/** Grants, assignments and state transitions of roll-outs. */
 import { asId, createRandom, type IncarnationId } from '@snipehaven/common';
 import fc from 'fast-check';
 import { test } from 'uvu';
@@ -33,7 +33,7 @@
 ): readonly DaemonExposure[] =>
   list.map((daemon, index) => ({ ...daemon, incarnation: asId<IncarnationId>(`vm${index}#1`) }));
 
-test('what is granted and not judged stays within the limit, for any number of daemons', () => {
+test('granted answers without a known outcome stay within the limit for any number of daemons', () => {
   fc.assert(
     fc.property(fc.array(daemonArbitrary, { maxLength: 400 }), fc.nat(500), (list, ratingCount) => {
       const daemons = toDaemons(list);
@@ -71,14 +71,14 @@
   sharePct: 100,
 };
 
-test('a daemon without a grant, or with a used up one, exposes nothing', () => {
+test('a daemon without a grant, or with an exhausted one, exposes nothing', () => {
   assert.is(assignRollout(createInput({})).reason, 'noGrant');
   assert.is(assignRollout(createInput({ grant })).reason, 'assigned');
   assert.is(assignRollout(createInput({ grant, exposedCount: 3 })).reason, 'grantUsedUp');
   assert.is(assignRollout(createInput({ grant, expectedAnswers: 4 })).reason, 'grantUsedUp');
 });
 
-test('strict teams wait for the last stage', () => {
+test('strict teams and teams with a high exposure weight only take part in the last stage', () => {
   const audience = { isStrict: true, allowsExploration: true, allowsCascade: true };
   const heavy = { ...audience, isStrict: false, exposureWeight: 1 };
   assert.is(assignRollout(createInput({ grant, audience: heavy })).reason, 'audience');
@@ -87,7 +87,7 @@
   assert.is(assignRollout(createInput({ grant, audience, progress })).reason, 'assigned');
 });
 
-test('the shadow never answers a caller and runs idempotent requests only', () => {
+test('in the shadow phase the candidate answers no caller and only runs idempotent requests', () => {
   const shadowed = { ...settings, shadowSharePct: 100 };
   const progress = startProgress(definition, 1, 0, shadowed);
   const assignment = assignRollout(createInput({ progress, settings: shadowed }));
@@ -106,7 +106,7 @@
   fence: fc.nat(3),
 }) as fc.Arbitrary<RolloutProgress>;
 
-test('joining states is commutative, associative and idempotent, and keeps a quarantine', () => {
+test('merging states is commutative, associative and idempotent, and keeps a quarantine', () => {
   fc.assert(
     fc.property(progressArbitrary, progressArbitrary, progressArbitrary, (a, b, c) => {
       assert.equal(joinProgress(a, b), joinProgress(b, a));
@@ -119,9 +119,9 @@
   );
 });
 
-test('a halted roll-out goes on under the next fence, and an old holder cannot write', () => {
-  // Symptom: a stage is raised twice, or falls back. Sequence: the holder pauses, the next one takes
-  // the lease and advances, the first one wakes up. Cause: a write without its fence checked.
+test('a roll-out resumes under the next fence, and a previous holder cannot write', () => {
+  // Guards against a stage that advances twice or regresses: the holder pauses, the next one takes
+  // the lease and advances, and the first one resumes and writes without a check of its fence.
   const next = { ...running, stage: 1, fence: 5 };
   assert.is(resumeProgress(next, 4), undefined);
   assert.equal(resumeProgress(next, 6), { ...next, fence: 6 });
@@ -135,7 +135,7 @@
   { maxLength: 4 },
 );
 
-test('pairs merge in any order and however often', () => {
+test('pair counts merge in any order and any number of times', () => {
   fc.assert(
     fc.property(sharesArbitrary, sharesArbitrary, (a, b) => {
       const merged = mergePairShares(a, b);
--- a/packages/policy/src/rollout/testHelpers.ts
+++ b/packages/policy/src/rollout/testHelpers.ts
@@ -1,8 +1,8 @@
-/** Data that the tests of roll-outs share. */
+/** Shared fixtures of the roll-out tests. */
 import { asId, type VersionId } from '@snipehaven/common';
 import type { RolloutDefinition } from './types.js';
 
-/** A roll-out of three stages. */
+/** Creates a roll-out with three stages. */
 export const createDefinition = (changes: Partial<RolloutDefinition> = {}): RolloutDefinition => ({
   rolloutId: 'r#1',
   stableVersion: asId<VersionId>('m@1'),
--- a/packages/policy/src/upstreamChoice/affinity/affinityLoad.ts
+++ b/packages/policy/src/upstreamChoice/affinity/affinityLoad.ts
@@ -1,12 +1,12 @@
-/** Room and order of the upstreams that a prefix may go to. */
+/** Load bounds and rendezvous order of the upstreams that a prefix may be sent to. */
 import { getKnownLoad, getWeightedLoad } from '../estimateLoad.js';
 import type { UpstreamView } from '../types.js';
 import { getAffinityWeight, hashAffinityKey } from './affinityHash.js';
 
-/** How much more than the mean load an upstream may have. */
+/** Upper bound on an upstream's load relative to the mean load. */
 export interface LoadBound {
   readonly factor: number;
-  /** So many requests more, so that an idle pool does not scatter a prefix. */
+  /** Number of requests added to the bound, so that the prefix is not scattered in an idle pool. */
   readonly slack: number;
 }
 
@@ -19,8 +19,11 @@
   return (sum / candidates.length) * factor + slack;
 };
 
-/** Upstreams whose load is neither far above the mean nor above their limit. */
-export const listWithRoom = (
+/**
+ * Lists the upstreams whose load exceeds neither the bound relative to the mean nor their own
+ * limit.
+ */
+export const listWithinLoadBound = (
   candidates: readonly UpstreamView[],
   bound: LoadBound,
   nowMs: number,
@@ -32,7 +35,7 @@
   });
 };
 
-/** The first `count` upstreams of the key's rendezvous order. */
+/** Returns the first `count` upstreams in the key's rendezvous order. */
 export const rankOwners = (
   key: string,
   candidates: readonly UpstreamView[],
@@ -46,7 +49,7 @@
     .map(({ upstream }) => upstream);
 };
 
-/** Known load of the candidates in parts of their limits. */
+/** Total load of the candidates as a fraction of their total limit. */
 export const getUtilisation = (candidates: readonly UpstreamView[]): number => {
   const load = candidates.reduce((sum, upstream) => sum + getKnownLoad(upstream), 0);
   const limit = candidates.reduce((sum, upstream) => sum + upstream.maxConcurrency, 0);
--- a/packages/policy/src/upstreamChoice/affinity/affinityRules.ts
+++ b/packages/policy/src/upstreamChoice/affinity/affinityRules.ts
@@ -1,4 +1,4 @@
-/** The affinity rules by name; earlier ones stay selectable for the bench. */
+/** The affinity rules by name. Earlier ones remain selectable for the bench. */
 import type { AffinityHandler, AffinityRule } from '../types.js';
 import { boundedOwner } from './boundedOwner.js';
 import { spreadOwners } from './spreadOwners.js';
@@ -10,5 +10,4 @@
   spreadOwners,
 };
 
-/** The rule in force. */
 export const DEFAULT_AFFINITY_RULE: AffinityRule = 'spreadOwners';
--- a/packages/policy/src/upstreamChoice/affinity/boundedOwner.ts
+++ b/packages/policy/src/upstreamChoice/affinity/boundedOwner.ts
@@ -1,4 +1,7 @@
-/** Round 1: the first of three owners whose load is within a bound, a cached one before the rest. */
+/**
+ * Picks the first of three owners whose load is within a bound, preferring those that have the
+ * prefix cached.
+ */
 import { getWeightedLoad } from '../estimateLoad.js';
 import type { AffinityHandler } from '../types.js';
 import { rankOwners } from './affinityLoad.js';
@@ -12,7 +15,7 @@
     const sum = candidates.reduce((total, upstream) => total + getWeightedLoad(upstream, nowMs), 0);
     const bound = (sum / candidates.length) * LOAD_FACTOR + LOAD_SLACK;
     const owners = rankOwners(key, candidates, OWNERS);
-    const withRoom = owners.filter((owner) => getWeightedLoad(owner, nowMs) <= bound);
-    return withRoom.find((owner) => owner.hasPrefixCached) ?? withRoom[0];
+    const withinBound = owners.filter((owner) => getWeightedLoad(owner, nowMs) <= bound);
+    return withinBound.find((owner) => owner.hasPrefixCached) ?? withinBound[0];
   },
 };
--- a/packages/policy/src/upstreamChoice/affinity/prefixCounts.ts
+++ b/packages/policy/src/upstreamChoice/affinity/prefixCounts.ts
@@ -1,8 +1,10 @@
-/** How frequent each prefix is among a daemon's requests, with fading memory and bounded size. */
+/**
+ * Frequency of each prefix among a daemon's requests, with exponential decay and bounded memory.
+ */
 import type { PrefixCounts } from '../types.js';
-import { MAX_COUNTED_PREFIXES, PREFIX_MEMORY_REQUESTS } from '../constants.js';
+import { MAX_TRACKED_PREFIXES, PREFIX_HALVING_REQUESTS } from '../constants.js';
 
-/** No requests yet. */
+/** Creates counts of no requests. */
 export const createPrefixCounts = (): PrefixCounts => ({ counts: new Map(), total: 0 });
 
 const halve = ({ counts, total }: PrefixCounts): PrefixCounts => ({
@@ -10,23 +12,23 @@
   total: total / 2,
 });
 
-/** Drops the rarer half once there are too many; a prefix that matters comes back at once. */
-const bound = ({ counts, total }: PrefixCounts): PrefixCounts => {
-  if (counts.size <= MAX_COUNTED_PREFIXES) {
+/** Evicts the rarer half when too many prefixes are tracked. A frequent prefix soon reappears. */
+const evictRare = ({ counts, total }: PrefixCounts): PrefixCounts => {
+  if (counts.size <= MAX_TRACKED_PREFIXES) {
     return { counts, total };
   }
-  const frequent = [...counts].sort((a, b) => b[1] - a[1]).slice(0, MAX_COUNTED_PREFIXES / 2);
+  const frequent = [...counts].sort((a, b) => b[1] - a[1]).slice(0, MAX_TRACKED_PREFIXES / 2);
   return { counts: new Map(frequent), total };
 };
 
-/** The counts after one more request. */
+/** Counts one more request. */
 export const countPrefix = (state: PrefixCounts, key: string): PrefixCounts => {
-  const faded = state.total >= PREFIX_MEMORY_REQUESTS ? halve(state) : state;
-  const counts = new Map(faded.counts);
+  const decayed = state.total >= PREFIX_HALVING_REQUESTS ? halve(state) : state;
+  const counts = new Map(decayed.counts);
   counts.set(key, (counts.get(key) ?? 0) + 1);
-  return bound({ counts, total: faded.total + 1 });
+  return evictRare({ counts, total: decayed.total + 1 });
 };
 
-/** The prefix's share of the requests, for `UpstreamChoiceInput.prefixShare`. */
+/** Returns the prefix's share of the requests, for `UpstreamChoiceInput.prefixShare`. */
 export const getPrefixShare = ({ counts, total }: PrefixCounts, key: string): number =>
   total > 0 ? (counts.get(key) ?? 0) / total : 0;
--- a/packages/policy/src/upstreamChoice/affinity/spreadOwners.ts
+++ b/packages/policy/src/upstreamChoice/affinity/spreadOwners.ts
@@ -1,9 +1,10 @@
 /**
- * A prefix has as many owners as its share of the requests needs, at least two: the first ones of
- * its rendezvous order. All daemons agree on them without a message and without load reports, so
- * that a hot prefix does not depend on reports to be spread in time; reports then level the load
- * among the owners. In a pool with little room the imbalance that affinity brings makes queues that
- * cost more than the prefill, so it steps back there. Late or missing cache events cost a prefill at worst.
+ * A prefix has as many owners as its share of the requests needs, at least two: the first ones in
+ * its rendezvous order. All daemons agree on the owners without messages or load reports, so a hot
+ * prefix is spread in time even if reports are late. Load reports then balance the load among the
+ * owners. In a pool with little free capacity, the imbalance caused by affinity leads to queues
+ * that cost more than the prefill, so the rule is disabled there. Late or missing cache events cost
+ * one prefill at most.
  */
 import {
   AFFINITY_LOAD_BOUND,
@@ -13,7 +14,7 @@
 } from '../constants.js';
 import { interpretedLoad } from '../rules/interpretedLoad.js';
 import type { AffinityHandler, UpstreamView } from '../types.js';
-import { getUtilisation, listWithRoom, rankOwners } from './affinityLoad.js';
+import { getUtilisation, listWithinLoadBound, rankOwners } from './affinityLoad.js';
 
 const preferWarm = (owners: readonly UpstreamView[]): readonly UpstreamView[] => {
   const warm = owners.filter((owner) => owner.hasPrefixCached);
@@ -27,8 +28,8 @@
     }
     const needed = Math.ceil((input.prefixShare ?? 0) * candidates.length * AFFINITY_SPREAD);
     const owners = rankOwners(key, candidates, Math.max(AFFINITY_MIN_OWNERS, needed));
-    const withRoom = listWithRoom(candidates, AFFINITY_LOAD_BOUND, input.nowMs);
-    const open = preferWarm(owners.filter((owner) => withRoom.includes(owner)));
-    return open.length > 0 ? interpretedLoad.choose(open, input) : undefined;
+    const withinBound = listWithinLoadBound(candidates, AFFINITY_LOAD_BOUND, input.nowMs);
+    const usable = preferWarm(owners.filter((owner) => withinBound.includes(owner)));
+    return usable.length > 0 ? interpretedLoad.choose(usable, input) : undefined;
   },
 };
--- a/packages/policy/src/upstreamChoice/affinity/warmSet.ts
+++ b/packages/policy/src/upstreamChoice/affinity/warmSet.ts
@@ -1,22 +1,22 @@
 /**
- * Round 2: two choices among the upstreams that hold the prefix by the cache events and have room,
- * else the first owner with room. A hot prefix fills its owner's room, goes elsewhere for a while
- * and thereby becomes cached in as many places as it needs.
+ * Picks the less loaded of two random upstreams that have the prefix cached, according to the cache
+ * events, and are within the load bound; otherwise the first owner within the bound. A hot prefix
+ * fills its owner, overflows to other upstreams, and so gets cached on as many of them as it needs.
  */
 import { twoChoices } from '../rules/twoChoices.js';
 import type { AffinityHandler } from '../types.js';
-import { listWithRoom, rankOwners } from './affinityLoad.js';
+import { listWithinLoadBound, rankOwners } from './affinityLoad.js';
 
 const OWNERS = 3;
 const BOUND = { factor: 1.1, slack: 1 };
 
 export const warmSet: AffinityHandler = {
   findOwner(key, candidates, input) {
-    const withRoom = listWithRoom(candidates, BOUND, input.nowMs);
-    const warm = withRoom.filter((upstream) => upstream.hasPrefixCached);
+    const withinBound = listWithinLoadBound(candidates, BOUND, input.nowMs);
+    const warm = withinBound.filter((upstream) => upstream.hasPrefixCached);
     if (warm.length > 0) {
       return twoChoices.choose(warm, input);
     }
-    return rankOwners(key, candidates, OWNERS).find((owner) => withRoom.includes(owner));
+    return rankOwners(key, candidates, OWNERS).find((owner) => withinBound.includes(owner));
   },
 };
--- a/packages/policy/src/upstreamChoice/chooseOwnSlot.ts
+++ b/packages/policy/src/upstreamChoice/chooseOwnSlot.ts
@@ -1,10 +1,10 @@
-/** The choice among upstreams where this daemon has a slot of its own free. */
+/** Chooses among the upstreams at which this daemon has a free slot of its own. */
 import { twoChoices } from './rules/twoChoices.js';
 import type { UpstreamChoiceInput, UpstreamView } from './types.js';
 
 const hasOwnSlotFree = ({ inFlight, ownSlots = 0 }: UpstreamView): boolean => inFlight < ownSlots;
 
-/** An upstream with a free slot, one that holds the request's prefix before the rest. */
+/** Returns an upstream with a free slot, preferring those that have the request's prefix cached. */
 export const chooseOwnSlot = (
   candidates: readonly UpstreamView[],
   input: UpstreamChoiceInput,
--- a/packages/policy/src/upstreamChoice/chooseUpstream.ts
+++ b/packages/policy/src/upstreamChoice/chooseUpstream.ts
@@ -52,8 +52,9 @@
 };
 
 /**
- * The upstream to send to, of the local data centre while one there is usable. Undefined when no
- * upstream may take the request now: spill (see `retry/`) or answer at once.
+ * Returns the upstream to send to. Upstreams of the local data centre are preferred while one of
+ * them is usable. Undefined if no upstream can take the request now: retry elsewhere (see `retry/`)
+ * or answer at once.
  */
 export const chooseUpstream = (input: UpstreamChoiceInput): UpstreamChoice | undefined => {
   const candidates = listCandidates(input);
--- a/packages/policy/src/upstreamChoice/concurrency/adjustConcurrency.ts
+++ b/packages/policy/src/upstreamChoice/concurrency/adjustConcurrency.ts
@@ -1,6 +1,6 @@
 /**
- * The adaptive limit of one upstream's requests in flight. It counts those of all daemons: with
- * more daemons than slots at an engine, no limit on a daemon's own requests would bound the sum.
+ * The adaptive concurrency limit of one upstream. It counts the requests of all daemons: with more
+ * daemons than slots at an engine, a limit on each daemon's own requests could not bound the sum.
  */
 import { CONCURRENCY_INITIAL, CONCURRENCY_MAX, CONCURRENCY_MIN } from '../constants.js';
 import type {
@@ -19,10 +19,9 @@
   reported,
 };
 
-/** The rule in force. */
 export const DEFAULT_CONCURRENCY_RULE: ConcurrencyRule = 'reported';
 
-/** A limit to start from. */
+/** Creates the initial state. */
 export const createConcurrency = (limit: number = CONCURRENCY_INITIAL): ConcurrencyState => ({
   limit,
   baseFirstTokenMs: 0,
@@ -30,7 +29,7 @@
   samples: 0,
 });
 
-/** The limit after one more sample. */
+/** Returns the state after one more sample. */
 export const adjustConcurrency = (
   state: ConcurrencyState,
   sample: ConcurrencySample,
@@ -41,5 +40,5 @@
   return { ...adjusted, limit };
 };
 
-/** The limit as a whole number, for `UpstreamView.maxConcurrency`. */
+/** Returns the limit as an integer, for `UpstreamView.maxConcurrency`. */
 export const getMaxConcurrency = (state: ConcurrencyState): number => Math.floor(state.limit);
--- a/packages/policy/src/upstreamChoice/concurrency/aimd.ts
+++ b/packages/policy/src/upstreamChoice/concurrency/aimd.ts
@@ -1,16 +1,22 @@
-/** Additive increase, multiplicative decrease: grows while answers come, halves on a refusal. */
+/**
+ * Additive increase, multiplicative decrease: grows with each answer, and shrinks by a constant
+ * factor on a refusal.
+ */
 import type { ConcurrencyHandler } from '../types.js';
 
-const DECREASE = 0.7;
-/** An increase needs the limit to have been in use, or idle upstreams would grow it for nothing. */
-const IN_USE = 0.5;
+const DECREASE_FACTOR = 0.7;
+/**
+ * The limit only grows if at least this fraction of it was in use; otherwise idle upstreams would
+ * increase it without evidence.
+ */
+const MIN_USAGE = 0.5;
 
 export const aimd: ConcurrencyHandler = {
   adjust(state, sample) {
     if (sample.isRefused) {
-      return { ...state, limit: state.limit * DECREASE };
+      return { ...state, limit: state.limit * DECREASE_FACTOR };
     }
-    const isInUse = sample.load >= state.limit * IN_USE;
+    const isInUse = sample.load >= state.limit * MIN_USAGE;
     return isInUse ? { ...state, limit: state.limit + 1 / state.limit } : state;
   },
 };
--- a/packages/policy/src/upstreamChoice/concurrency/gradient.ts
+++ b/packages/policy/src/upstreamChoice/concurrency/gradient.ts
@@ -1,22 +1,24 @@
 /**
- * Follows the ratio of the upstream's own best time to the first token to its recent one: a queue
- * at the engine shows in the ratio before the engine refuses anything.
+ * Follows the ratio of the upstream's best first-token latency to its recent one. The ratio reveals
+ * a queue at the engine before the engine refuses requests.
  */
 import type { ConcurrencyHandler, ConcurrencySample, ConcurrencyState } from '../types.js';
 
 const DECREASE_ON_REFUSAL = 0.7;
-/** Slowness up to this multiple of the base is taken for the usual spread. */
+/** Latency up to this multiple of the baseline counts as normal variation. */
 const TOLERANCE = 2;
 const MIN_GRADIENT = 0.5;
 const RECENT_WEIGHT = 0.1;
-/** The base rises this much a sample, so that it forgets a time when the upstream was faster. */
+/**
+ * Growth of the baseline per sample, so that it forgets a period in which the upstream was faster.
+ */
 const BASE_DRIFT = 1.002;
 const SMOOTHING = 0.2;
-/** Adjusted once in so many samples, for a change shows only in requests sent after it. */
+/** Number of samples per adjustment, because a change only affects requests sent after it. */
 const WINDOW_SAMPLES = 8;
-const IN_USE = 0.5;
+const MIN_USAGE = 0.5;
 
-const followTimes = (state: ConcurrencyState, { firstTokenMs }: ConcurrencySample) => {
+const updateLatencies = (state: ConcurrencyState, { firstTokenMs }: ConcurrencySample) => {
   const isFirst = state.baseFirstTokenMs === 0;
   const recent = isFirst
     ? firstTokenMs
@@ -38,13 +40,13 @@
     if (sample.isRefused) {
       return { ...state, limit: state.limit * DECREASE_ON_REFUSAL };
     }
-    const followed = followTimes(state, sample);
-    if (followed.samples < WINDOW_SAMPLES) {
-      return followed;
+    const updated = updateLatencies(state, sample);
+    if (updated.samples < WINDOW_SAMPLES) {
+      return updated;
     }
-    const isInUse = sample.load >= state.limit * IN_USE;
+    const isInUse = sample.load >= state.limit * MIN_USAGE;
     const headroom = isInUse ? Math.sqrt(state.limit) : 0;
-    const goal = state.limit * getGradient(followed) + headroom;
-    return { ...followed, samples: 0, limit: state.limit + SMOOTHING * (goal - state.limit) };
+    const targetLimit = state.limit * getGradient(updated) + headroom;
+    return { ...updated, samples: 0, limit: state.limit + SMOOTHING * (targetLimit - state.limit) };
   },
 };
--- a/packages/policy/src/upstreamChoice/concurrency/reported.ts
+++ b/packages/policy/src/upstreamChoice/concurrency/reported.ts
@@ -1,17 +1,20 @@
 /**
- * Reads the engine's batch off its load reports: while requests wait at it, the batch is full, and
- * its size is the limit. Latency and refusals tell the same later, after a queue has built up that
- * no daemon's fair order reaches; one sees it as small teams waiting behind a flood at the engine.
- * Without reports (plain services) the times decide.
+ * Derives the engine's batch size from its load reports: while requests wait at the engine, the
+ * batch is full and its size is the limit. Latency and refusals show the same only after a queue
+ * has built up at the engine, where the daemons' fair queueing has no effect and small teams wait
+ * behind a flooding one. Without reports, as for plain services, latency decides.
  */
 import type { ConcurrencyHandler } from '../types.js';
 import { gradient } from './gradient.js';
 
 const DECREASE_ON_REFUSAL = 0.9;
-/** How fast the limit follows the size of a full batch. */
-const FOLLOW = 0.3;
+/** Smoothing factor with which the limit follows the size of a full batch. */
+const BATCH_SMOOTHING = 0.3;
 
-/** Follows reports; grows by one in a round of requests while nothing waits. */
+/**
+ * Follows the reports. While no requests wait, the limit grows by one for each batch of requests as
+ * large as the limit.
+ */
 export const reported: ConcurrencyHandler = {
   adjust(state, sample) {
     const { load, reportedRunning, reportedQueued, isRefused } = sample;
@@ -22,7 +25,7 @@
       return { ...state, limit: state.limit * DECREASE_ON_REFUSAL };
     }
     if (reportedQueued > 0) {
-      return { ...state, limit: state.limit + FOLLOW * (reportedRunning - state.limit) };
+      return { ...state, limit: state.limit + BATCH_SMOOTHING * (reportedRunning - state.limit) };
     }
     const limit = Math.max(state.limit, reportedRunning);
     return { ...state, limit: load >= limit ? limit + 1 / limit : limit };
--- a/packages/policy/src/upstreamChoice/constants.ts
+++ b/packages/policy/src/upstreamChoice/constants.ts
@@ -1,39 +1,56 @@
-/** Settings of upstream choice, health and adaptive concurrency; figures in POLICY-UPSTREAMS.md. */
+/**
+ * Constants of upstream choice, health tracking and adaptive concurrency. POLICY-UPSTREAMS.md lists
+ * the figures.
+ */
 
-/** An upstream that is new or came back reaches its full share of work after this time. */
+/**
+ * Duration of the slow start, in which a new or returning upstream ramps up to its full share of
+ * requests.
+ */
 export const SLOW_START_MS = 10_000;
-/** Its share at the start. */
+/** Relative weight of an upstream at the beginning of its slow start. */
 export const SLOW_START_MIN_WEIGHT = 0.1;
 
-/** A prefix goes to its owners while their load is within this bound of the mean. */
+/** A prefix is sent to its owners while their load is within this bound relative to the mean. */
 export const AFFINITY_LOAD_BOUND = { factor: 1.1, slack: 1 } as const;
-/** Affinity holds up to this utilisation of the pool; above it, balance is worth more. */
+/** Pool utilisation above which affinity is disabled in favour of load balance. */
 export const AFFINITY_MAX_UTILISATION = 0.6;
-/** Owners of a prefix, in multiples of its share of the pool; and the fewest. */
+/** Number of owners of a prefix as a multiple of its share of the pool, and the minimum number. */
 export const AFFINITY_SPREAD = 2;
 export const AFFINITY_MIN_OWNERS = 2;
-/** Prefixes that a daemon counts, and after how many requests the counts are halved. */
-export const MAX_COUNTED_PREFIXES = 256;
-export const PREFIX_MEMORY_REQUESTS = 1_000;
+/**
+ * Maximum number of prefixes that a daemon tracks, and the number of requests after which all
+ * counts are halved.
+ */
+export const MAX_TRACKED_PREFIXES = 256;
+export const PREFIX_HALVING_REQUESTS = 1_000;
 
-/** Failures in a row that eject an upstream. */
+/** Number of consecutive failures that eject an upstream. */
 export const EJECT_CONSECUTIVE_FAILURES = 3;
-/** Or this share of failures in a window with at least so many outcomes. */
+/** Failure rate that ejects an upstream, given a minimum number of outcomes in the window. */
 export const EJECT_FAILURE_RATE = 0.5;
 export const EJECT_MIN_OUTCOMES = 10;
 export const HEALTH_WINDOW_MS = 10_000;
 
-/** The first ejection; each further one in a row doubles it up to the longest. */
+/** Duration of the first ejection; each consecutive one doubles it, up to the maximum. */
 export const EJECT_BASE_MS = 2_000;
 export const EJECT_MAX_MS = 60_000;
-/** Ejections are lengthened by up to this share, so that daemons probe at different times. */
+/**
+ * Maximum random extension of an ejection, as a fraction, so that daemons probe at different times.
+ */
 export const EJECT_JITTER = 0.5;
 
 export const CONCURRENCY_MIN = 1;
 export const CONCURRENCY_MAX = 512;
 export const CONCURRENCY_INITIAL = 16;
 
-/** A daemon may run this many standard deviations of its load more than now, while there is room. */
+/**
+ * While capacity is free, a daemon may run this many standard deviations of its load more than it
+ * runs now.
+ */
 export const BURST_DEVIATIONS = 3;
-/** But at most this share of the room that the reports show. */
-export const MAX_ROOM_SHARE = 0.5;
+/**
+ * Upper bound of these additional requests, as a fraction of the free capacity that the load
+ * reports show.
+ */
+export const MAX_HEADROOM_SHARE = 0.5;
--- a/packages/policy/src/upstreamChoice/estimateLoad.ts
+++ b/packages/policy/src/upstreamChoice/estimateLoad.ts
@@ -1,15 +1,15 @@
-/** An upstream's load now, estimated from a report that is some time old. */
+/** Estimates an upstream's current load from an outdated load report. */
 import { SLOW_START_MIN_WEIGHT, SLOW_START_MS } from './constants.js';
 import type { UpstreamView } from './types.js';
 
-/** Reported load and the own requests that the report cannot know. */
+/** Reported load plus this daemon's requests that the report cannot include. */
 export const getKnownLoad = (upstream: UpstreamView): number =>
   Math.max(
     upstream.inFlight,
     upstream.reportedRunning + upstream.reportedQueued + upstream.sentSinceReport,
   );
 
-/** The share of its usual work that an upstream may take: from the minimum up to 1. */
+/** Relative share of requests for an upstream in slow start: rises from the minimum to 1. */
 export const getSlowStartWeight = (upstream: UpstreamView, nowMs: number): number => {
   if (upstream.slowStartSinceMs === 0) {
     return 1;
@@ -18,6 +18,9 @@
   return Math.min(1, Math.max(SLOW_START_MIN_WEIGHT, progress));
 };
 
-/** Known load made comparable between upstreams that are warm and those in slow start. */
+/**
+ * Load divided by the slow-start weight, so that warm upstreams and those in slow start are
+ * comparable.
+ */
 export const getWeightedLoad = (upstream: UpstreamView, nowMs: number): number =>
   (getKnownLoad(upstream) + 1) / getSlowStartWeight(upstream, nowMs);
--- a/packages/policy/src/upstreamChoice/index.ts
+++ b/packages/policy/src/upstreamChoice/index.ts
@@ -1,4 +1,4 @@
-/** Which upstream takes a request, and what is known of the upstreams' health and room. */
+/** Choice of the upstream for a request, and tracking of the upstreams' health and capacity. */
 export * from './affinity/prefixCounts.js';
 export * from './assignOwnSlots.js';
 export * from './chooseUpstream.js';
--- a/packages/policy/src/upstreamChoice/listCandidates.ts
+++ b/packages/policy/src/upstreamChoice/listCandidates.ts
@@ -1,7 +1,10 @@
-/** Which upstreams may take a request at all. */
+/** Filters the upstreams that can take a request. */
 import type { UpstreamChoiceInput, UpstreamView } from './types.js';
 
-/** The upstream was ejected and its time is over: it has to prove itself by one request. */
+/**
+ * The upstream's ejection has expired. It must succeed with a single request before it is
+ * readmitted.
+ */
 export const needsProbe = (upstream: UpstreamView, nowMs: number): boolean =>
   upstream.ejectedUntilMs !== 0 && upstream.ejectedUntilMs <= nowMs;
 
@@ -11,7 +14,10 @@
 const canTakeProbe = (upstream: UpstreamView, input: UpstreamChoiceInput): boolean =>
   input.canProbe !== false && upstream.inFlight === 0;
 
-/** Upstreams that are not leaving, not ejected, not full and not tried before. */
+/**
+ * Lists the upstreams that are not leaving, ejected or full, and that this request has not tried
+ * yet.
+ */
 export const listCandidates = (input: UpstreamChoiceInput): readonly UpstreamView[] =>
   input.upstreams.filter((upstream) => {
     if (upstream.isLeaving || isEjected(upstream, input.nowMs)) {
--- a/packages/policy/src/upstreamChoice/outcomeRules.ts
+++ b/packages/policy/src/upstreamChoice/outcomeRules.ts
@@ -1,16 +1,19 @@
-/** What each kind of outcome says about an upstream's health. */
+/** Effect of each kind of outcome on an upstream's health. */
 import type { OutcomeKind } from './types.js';
 
-/** How an outcome counts; a failure says what share of the pool may be ejected for its like. */
+/**
+ * Effect of an outcome. A failure also states which share of the pool may be ejected for its kind.
+ */
 export type OutcomeRule =
   | { readonly kind: 'success' }
   | { readonly kind: 'ignore' }
   | { readonly kind: 'failure'; readonly maxEjectedShare: number };
 
 /**
- * Errors and timeouts may come from the requests or from load: were a whole pool ejected for them,
- * the rest would get all the load and follow. One sees it as ejections that run through a pool.
- * Hence the lower share. An upstream without a connection could not have served anyway.
+ * Errors and timeouts can be caused by the requests or by load. If a whole pool were ejected for
+ * them, the remaining upstreams would get the entire load and fail as well, so that ejections
+ * cascade through the pool; hence the lower share. An unreachable upstream could not serve requests
+ * in any case.
  */
 export const outcomeRules: Readonly<Record<OutcomeKind, OutcomeRule>> = {
   succeeded: { kind: 'success' },
--- a/packages/policy/src/upstreamChoice/recordOutcome.ts
+++ b/packages/policy/src/upstreamChoice/recordOutcome.ts
@@ -1,7 +1,7 @@
 /**
- * An upstream's health by the outcomes of its attempts. Failures in a row or a high failure rate
- * eject it for a time that grows with each ejection; then one probe at a time decides whether it
- * comes back, in slow start, or is ejected for longer.
+ * Tracks an upstream's health by the outcomes of its attempts. Consecutive failures or a high
+ * failure rate eject the upstream for a time that grows with each ejection. Afterwards, single
+ * probe requests decide whether it returns in slow start or is ejected for longer.
  */
 import {
   EJECT_BASE_MS,
@@ -13,9 +13,9 @@
   HEALTH_WINDOW_MS,
 } from './constants.js';
 import { outcomeRules } from './outcomeRules.js';
-import type { OutcomeKind, PoolSituation, UpstreamHealth } from './types.js';
+import type { OutcomeKind, PoolStatus, UpstreamHealth } from './types.js';
 
-/** The health of an upstream that a daemon has just learnt of; it starts slowly. */
+/** Creates the health of an upstream that was just discovered; it begins with a slow start. */
 export const createHealth = (nowMs: number): UpstreamHealth => ({
   consecutiveFailures: 0,
   windowStartedAtMs: nowMs,
@@ -26,7 +26,7 @@
   slowStartSinceMs: nowMs,
 });
 
-const startWindowIfOver = (health: UpstreamHealth, nowMs: number): UpstreamHealth =>
+const rollWindow = (health: UpstreamHealth, nowMs: number): UpstreamHealth =>
   nowMs - health.windowStartedAtMs < HEALTH_WINDOW_MS
     ? health
     : { ...health, windowStartedAtMs: nowMs, windowOutcomes: 0, windowFailures: 0 };
@@ -53,17 +53,17 @@
   };
 };
 
-const isIll = (health: UpstreamHealth): boolean =>
+const isUnhealthy = (health: UpstreamHealth): boolean =>
   health.consecutiveFailures >= EJECT_CONSECUTIVE_FAILURES ||
   (health.windowOutcomes >= EJECT_MIN_OUTCOMES &&
     health.windowFailures >= health.windowOutcomes * EJECT_FAILURE_RATE);
 
-const hasRoomToEject = (maxShare: number, { poolSize, ejectedCount }: PoolSituation): boolean =>
+const canEjectMore = (maxShare: number, { poolSize, ejectedCount }: PoolStatus): boolean =>
   ejectedCount + 1 <= Math.floor(poolSize * maxShare);
 
-const eject = (health: UpstreamHealth, nowMs: number, pool: PoolSituation): UpstreamHealth => {
-  const plainMs = Math.min(EJECT_MAX_MS, EJECT_BASE_MS * 2 ** health.ejections);
-  const durationMs = plainMs * (1 + EJECT_JITTER * pool.random.next());
+const eject = (health: UpstreamHealth, nowMs: number, pool: PoolStatus): UpstreamHealth => {
+  const baseMs = Math.min(EJECT_MAX_MS, EJECT_BASE_MS * 2 ** health.ejections);
+  const durationMs = baseMs * (1 + EJECT_JITTER * pool.random.next());
   return {
     ...health,
     windowOutcomes: 0,
@@ -77,7 +77,7 @@
   health: UpstreamHealth,
   maxShare: number,
   nowMs: number,
-  pool: PoolSituation,
+  pool: PoolStatus,
 ): UpstreamHealth => {
   const counted = {
     ...health,
@@ -89,20 +89,20 @@
     return counted;
   }
   const hasFailedProbe = health.ejectedUntilMs !== 0;
-  if (hasFailedProbe || (isIll(counted) && hasRoomToEject(maxShare, pool))) {
+  if (hasFailedProbe || (isUnhealthy(counted) && canEjectMore(maxShare, pool))) {
     return eject(counted, nowMs, pool);
   }
   return counted;
 };
 
-/** The upstream's health after one more outcome. */
+/** Returns the upstream's health after one more outcome. */
 export const recordOutcome = (
   health: UpstreamHealth,
   outcome: OutcomeKind,
   nowMs: number,
-  pool: PoolSituation,
+  pool: PoolStatus,
 ): UpstreamHealth => {
-  const current = startWindowIfOver(health, nowMs);
+  const current = rollWindow(health, nowMs);
   const rule = outcomeRules[outcome];
   if (rule.kind === 'ignore') {
     return current;
--- a/packages/policy/src/upstreamChoice/rules/choiceRules.ts
+++ b/packages/policy/src/upstreamChoice/rules/choiceRules.ts
@@ -1,4 +1,4 @@
-/** The rules by name; earlier ones stay selectable for the bench. */
+/** The choice rules by name. Earlier ones remain selectable for the bench. */
 import type { UpstreamChoiceHandler, UpstreamChoiceRule } from '../types.js';
 import { interpretedLoad } from './interpretedLoad.js';
 import { twoChoices } from './twoChoices.js';
@@ -8,5 +8,4 @@
   interpretedLoad,
 };
 
-/** The rule in force. */
 export const DEFAULT_CHOICE_RULE: UpstreamChoiceRule = 'interpretedLoad';
--- a/packages/policy/src/upstreamChoice/rules/twoChoices.ts
+++ b/packages/policy/src/upstreamChoice/rules/twoChoices.ts
@@ -1,8 +1,11 @@
-/** Two upstreams at random, and the one with the smaller known load of the two. */
+/** Power of two choices: picks two random upstreams and returns the less loaded one. */
 import { getWeightedLoad } from '../estimateLoad.js';
 import type { UpstreamChoiceHandler, UpstreamView } from '../types.js';
 
-/** The first rule: reported load and own sends, no ageing. */
+/**
+ * Uses the reported load and this daemon's own requests; does not account for the age of the
+ * report.
+ */
 export const twoChoices: UpstreamChoiceHandler = {
   choose(candidates, { nowMs, random }) {
     const first = candidates[random.nextInt(candidates.length)] as UpstreamView;
--- a/packages/policy/src/upstreamChoice/types.ts
+++ b/packages/policy/src/upstreamChoice/types.ts
@@ -1,81 +1,86 @@
-/** What the choice of an upstream reads and answers. */
+/** Types of the upstream choice. */
 import type { DataCentreId, Random, UpstreamId } from '@snipehaven/common';
 
-/** One upstream as a daemon sees it. */
+/** One upstream from the point of view of a daemon. */
 export interface UpstreamView {
   readonly id: UpstreamId;
   readonly dataCentre: DataCentreId;
-  /** This daemon's own requests at the upstream now. */
+  /** This daemon's requests in flight at the upstream. */
   readonly inFlight: number;
-  /** Of these, the ones sent after the last load report was taken. */
+  /** Those of them that were sent after the last load report was taken. */
   readonly sentSinceReport: number;
-  /** Requests in the engine's batch by its last load report, from all daemons. */
+  /** Requests of all daemons in the engine's batch according to its last load report. */
   readonly reportedRunning: number;
-  /** Requests waiting at the engine by the same report. */
+  /** Requests waiting at the engine according to the same report. */
   readonly reportedQueued: number;
   /** When the engine took that report, by this daemon's clock; 0 without a report. */
   readonly reportAtMs: number;
-  /** The adaptive limit of the upstream's requests in flight, from all daemons together. */
+  /** Adaptive limit of the requests in flight of all daemons. */
   readonly maxConcurrency: number;
-  /** This daemon's part of the upstream's slots, by `assignOwnSlots`; unused if left out. */
+  /** This daemon's part of the upstream's slots, from `assignOwnSlots`; ignored if unset. */
   readonly ownSlots?: number;
   /** Moving average of the time to the first token; 0 while unknown. */
   readonly firstTokenMs: number;
-  /** 0: healthy; in the future: ejected; in the past: one probe at a time may go there. */
+  /** 0 if healthy; ejected while in the future; if in the past, one probe at a time may be sent. */
   readonly ejectedUntilMs: number;
-  /** When the upstream was new or came back; 0: long ago. */
+  /** Start of the slow start of a new or returning upstream; 0 if it was long ago. */
   readonly slowStartSinceMs: number;
-  /** By the VM list or the engine's own word, whichever came first. */
+  /** According to the VM list or to the engine itself, whichever came first. */
   readonly isLeaving: boolean;
-  /** The engine's cache events say that it holds the request's prefix; a late hint. */
+  /**
+   * Whether the engine's cache events show that it holds the request's prefix. A hint that may be
+   * outdated.
+   */
   readonly hasPrefixCached: boolean;
 }
 
-/** The rules a choice among usable upstreams can be made by. */
+/** Rules for choosing among usable upstreams. */
 export type UpstreamChoiceRule = 'twoChoices' | 'interpretedLoad';
 
-/** The rules by which requests with a common prefix go together. */
+/** Rules for sending requests with a common prefix to the same upstreams. */
 export type AffinityRule = 'boundedOwner' | 'warmSet' | 'spreadOwners';
 
-/** One request's choice. */
+/** Input of the choice for one request. */
 export interface UpstreamChoiceInput {
   readonly upstreams: readonly UpstreamView[];
   readonly sessionKey?: string;
-  /** Names the request's prompt prefix; requests with the same one go together. */
+  /**
+   * Identifies the request's prompt prefix; requests with the same prefix are sent to the same
+   * upstreams.
+   */
   readonly prefixKey?: string;
   /** The prefix's share of this daemon's requests; see `countPrefix`. */
   readonly prefixShare?: number;
   readonly localDataCentre: DataCentreId;
   readonly nowMs: number;
   readonly random: Random;
-  /** Upstreams that this request was already sent to. */
+  /** Upstreams that this request has already been sent to. */
   readonly excludedIds?: readonly UpstreamId[];
-  /** Daemons that send to the same upstreams, this one included; 1 if left out. */
+  /** Number of daemons that send to the same upstreams, including this one; defaults to 1. */
   readonly daemonCount?: number;
-  /** Requests per second that this daemon sends to these upstreams; 0 if left out. */
+  /** Requests per second that this daemon sends to these upstreams; defaults to 0. */
   readonly ownRequestsPerSecond?: number;
-  /** Whether the request may test an upstream that comes back; true if left out. */
+  /** Whether the request may be used to probe a returning upstream; defaults to true. */
   readonly canProbe?: boolean;
   readonly rule?: UpstreamChoiceRule;
   readonly affinityRule?: AffinityRule;
 }
 
-/** Why the upstream was taken, for the time line. */
+/** Reason for the choice, shown in the timeline. */
 export type UpstreamChoiceReason =
   'affinity' | 'ownSlot' | 'leastLoaded' | 'onlyCandidate' | 'probe' | 'otherDataCentre';
 
-/** The chosen upstream. */
 export interface UpstreamChoice {
   readonly upstream: UpstreamId;
   readonly reason: UpstreamChoiceReason;
 }
 
-/** Picks one of at least one usable upstream. */
+/** Picks one upstream; there is at least one candidate. */
 export interface UpstreamChoiceHandler {
   choose(candidates: readonly UpstreamView[], input: UpstreamChoiceInput): UpstreamView;
 }
 
-/** Finds the upstream that requests with a key go to, if one has room. */
+/** Finds the upstream that owns a key, if any can take the request. */
 export interface AffinityHandler {
   findOwner(
     key: string,
@@ -84,33 +89,33 @@
   ): UpstreamView | undefined;
 }
 
-/** Fading counts of a daemon's requests by prefix. */
+/** Decaying counts of a daemon's requests by prefix. */
 export interface PrefixCounts {
   readonly counts: ReadonlyMap<string, number>;
   readonly total: number;
 }
 
-/** How one attempt at an upstream ended, as far as the upstream's health is concerned. */
+/** Outcome of an attempt with respect to the upstream's health. */
 export type OutcomeKind =
-  /** It answered, or failed through the caller's fault. */
+  /** The upstream answered, or the attempt failed because of the caller. */
   | 'succeeded'
-  /** It refused for want of room before anything ran: busy, not ill. */
+  /** The upstream refused for lack of capacity before anything ran: busy but healthy. */
   | 'refused'
-  /** Its answer was an error, empty or cut off. */
+  /** The answer was an error, empty or truncated. */
   | 'failed'
-  /** No byte within the timeout. */
+  /** No byte arrived within the timeout. */
   | 'timedOut'
-  /** No connection could be made. */
+  /** No connection could be established. */
   | 'unreachable';
 
-/** What a daemon remembers of one upstream's health. */
+/** A daemon's record of one upstream's health. */
 export interface UpstreamHealth {
   readonly consecutiveFailures: number;
-  /** Outcomes of the current window and the failures among them. */
+  /** Start of the current window, the outcomes in it and the failures among them. */
   readonly windowStartedAtMs: number;
   readonly windowOutcomes: number;
   readonly windowFailures: number;
-  /** Ejections in a row, which lengthen the next one. */
+  /** Consecutive ejections, which lengthen the next one. */
   readonly ejections: number;
   /** See {@link UpstreamView.ejectedUntilMs}. */
   readonly ejectedUntilMs: number;
@@ -118,42 +123,42 @@
   readonly slowStartSinceMs: number;
 }
 
-/** The pool around an upstream whose outcome is recorded. */
-export interface PoolSituation {
-  /** Upstreams of the pool, this one included. */
+/** The pool of an upstream whose outcome is recorded. */
+export interface PoolStatus {
+  /** Number of upstreams in the pool, including this one. */
   readonly poolSize: number;
-  /** Of them, those with an `ejectedUntilMs` other than 0, this one left out. */
+  /** Number of other upstreams in the pool with a non-zero `ejectedUntilMs`. */
   readonly ejectedCount: number;
   readonly random: Random;
 }
 
-/** The adaptive limit of one upstream's requests in flight, from all daemons together. */
+/** Adaptive limit of an upstream's requests in flight from all daemons. */
 export interface ConcurrencyState {
   readonly limit: number;
   /** Moving minimum of the time to the first token. */
   readonly baseFirstTokenMs: number;
-  /** Short moving average of the same. */
+  /** Short-term moving average of the time to the first token. */
   readonly recentFirstTokenMs: number;
-  /** Samples since the gradient last moved the limit. */
+  /** Samples since the gradient rule last adjusted the limit. */
   readonly samples: number;
 }
 
-/** One finished attempt, as the adaptive limit sees it. */
+/** Sample of one completed attempt for the adaptive limit. */
 export interface ConcurrencySample {
   readonly firstTokenMs: number;
-  /** The upstream's known load, from all daemons, when the request was sent. */
+  /** The upstream's known load from all daemons when the request was sent. */
   readonly load: number;
-  /** The upstream's last load report; 0 without one. */
+  /** From the upstream's last load report; 0 without one. */
   readonly reportedRunning: number;
   readonly reportedQueued: number;
-  /** It refused for want of room, or timed out. */
+  /** The upstream refused for lack of capacity, or timed out. */
   readonly isRefused: boolean;
 }
 
-/** The rules by which the limit can follow its samples. */
+/** Rules for adapting the limit to the samples. */
 export type ConcurrencyRule = 'aimd' | 'gradient' | 'reported';
 
-/** Moves the limit by one sample. */
+/** Adjusts the limit by one sample. */
 export interface ConcurrencyHandler {
   adjust(state: ConcurrencyState, sample: ConcurrencySample): ConcurrencyState;
 }
--- a/packages/policy/src/upstreamChoice/upstreamChoice.test.ts
+++ b/packages/policy/src/upstreamChoice/upstreamChoice.test.ts
@@ -1,4 +1,4 @@
-/** Upstream choice, health and adaptive concurrency. */
+/** Upstream choice, health tracking and adaptive concurrency. */
 import { asId, createRandom } from '@snipehaven/common';
 import type { DataCentreId, UpstreamId } from '@snipehaven/common';
 import fc from 'fast-check';
@@ -43,7 +43,7 @@
     ...more,
   });
 
-test('never sends to one that leaves, is ejected, full or was tried', () => {
+test('never sends to an upstream that is leaving, ejected, full or already tried', () => {
   const closed = [
     createView('leaving', { isLeaving: true }),
     createView('ejected', { ejectedUntilMs: NOW_MS + 1 }),
@@ -62,7 +62,7 @@
   assert.is(choose([remote])?.reason, 'otherDataCentre');
 });
 
-test('sends one probe at a time, and none that may not be repeated', () => {
+test('sends one probe at a time, and only requests that may be retried', () => {
   const returning = createView('back', { ejectedUntilMs: NOW_MS - 1 });
   assert.is(choose([returning, createView('other')])?.reason, 'probe');
   assert.is(choose([returning, createView('other')], { canProbe: false })?.upstream, 'other');
@@ -70,7 +70,7 @@
   assert.is(choose([probed, createView('other')])?.upstream, 'other');
 });
 
-test('a prefix keeps its owner while there is room, and moves little when one leaves', () => {
+test('a prefix keeps its owner within the load bound, and few prefixes move when an upstream leaves', () => {
   const views = Array.from({ length: 12 }, (_, index) => createView(`u${index}`));
   const ownerOf = (prefixKey: string, upstreams: readonly UpstreamView[]) =>
     choose(upstreams, { prefixKey, affinityRule: 'boundedOwner' })?.upstream;
@@ -91,9 +91,10 @@
   assert.is.not(choose(busy, { prefixKey: 'prefix-1' })?.reason, 'affinity');
 });
 
-// Symptom: the least loaded engine of the last report gets a queue. Sequence: all daemons read the
-// same report and send to the same engine until the next one. Cause: none knows the others' sends.
-test('many daemons with one old report spread over the engines', () => {
+// Guards against a queue at the engine that was least loaded in the last report. It builds up when
+// all daemons read the same report and send to this engine until the next one, because none knows
+// the others' requests.
+test('many daemons with the same outdated report spread over the engines', () => {
   const random = createRandom(11);
   const views = Array.from({ length: 10 }, (_, index) =>
     createView(`u${index}`, { reportedRunning: index === 0 ? 5 : 8 }),
@@ -106,7 +107,7 @@
   assert.ok((sends.get('u0') ?? 0) > 100 && (sends.get('u0') ?? 0) < 200, `${sends.get('u0')}`);
 });
 
-test('own slots sum up to the limit over the daemons', () => {
+test('the own slots of all daemons sum up to the limit', () => {
   fc.assert(
     fc.property(
       fc.nat(200),
@@ -127,7 +128,7 @@
   );
 });
 
-test('ejects after failures in a row, longer each time, and comes back slowly', () => {
+test('ejects after consecutive failures, longer each time, and returns in slow start', () => {
   const pool = { poolSize: 4, ejectedCount: 0, random: createRandom(1) };
   let health = createHealth(0);
   for (let failure = 0; failure < 3; failure += 1) {
@@ -143,9 +144,10 @@
   assert.is(back.slowStartSinceMs, probeAtMs);
 });
 
-// Symptom: a whole pool ejected, every request refused. Sequence: all upstreams fail alike. Cause:
-// the fault lies in the requests or in front of the pool, and ejection has no bound.
-test('failures of all upstreams eject at most half of the pool', () => {
+// Guards against the ejection of a whole pool, after which every request is refused. This happens
+// without a bound on ejections when all upstreams fail because of the requests or of a fault in
+// front of the pool.
+test('when all upstreams fail, at most half of the pool is ejected', () => {
   const random = createRandom(1);
   const pool = Array.from({ length: 8 }, () => createHealth(0));
   for (let round = 0; round < 20; round += 1) {
@@ -159,7 +161,7 @@
   assert.is(pool.filter(({ ejectedUntilMs }) => ejectedUntilMs !== 0).length, 4);
 });
 
-test('the limit follows a full batch and gives way to refusals', () => {
+test('the limit follows the size of a full batch and decreases on refusals', () => {
   const sample = {
     firstTokenMs: 100,
     load: 40,
