--- a/packages/rollouts/src/constants.ts
+++ b/packages/rollouts/src/constants.ts
@@ -1,94 +1,124 @@
-/** Bounds and settings of evidence and roll-outs. */
+/** Limits and tuning constants of evidence and roll-outs. */
 import { defaultRolloutSettings, type RolloutSettings } from '@snipehaven/policy';
 
-/** Pooled evidence of a subject is computed anew at most this often. */
+/** Lifetime of a cached pooled estimate of one subject. */
 export const EVIDENCE_CACHE_MS = 1_000;
-/** Subjects with cached evidence; beyond it the cache starts over. */
+/** Capacity of the pooled-evidence cache; it is cleared when full. */
 export const MAX_CACHED_SUBJECTS = 4_096;
-/** Cells that a daemon keeps; outcomes of further subjects are not counted. */
+/** Evidence cells per daemon; once full, outcomes of new subjects are not counted. */
 export const MAX_CELLS = 2_000;
-/** Epochs for which counters of single daemons are kept; older ones live on in the aggregates. */
-export const KEPT_OWN_EPOCHS = 2;
-/** A peer's clock may be ahead by so many epochs. */
+/**
+ * Epochs for which per-daemon shares are retained; older ones are kept only in the data-centre
+ * aggregates.
+ */
+export const RETAINED_DAEMON_EPOCHS = 2;
+/** Clock skew tolerated in a received share, in epochs; shares further ahead are rejected. */
 export const MAX_EPOCH_AHEAD = 1;
 export const MAINTENANCE_MS = 60_000;
 
-/** Bytes of evidence and of roll-out state in one gossip message within the data centre. */
+/** Payload limits per gossip message within the data centre. */
 export const LOCAL_EVIDENCE_BYTES = 320;
 export const LOCAL_ROLLOUT_BYTES = 120;
-/** The same between data centres, where a few relays speak for all. */
+/** Payload limits per gossip message between data centres, which only a few relays exchange. */
 export const REMOTE_EVIDENCE_BYTES = 360;
 export const REMOTE_ROLLOUT_BYTES = 240;
-/** One in so many messages repeats something long known, so that everybody learns it in the end. */
-export const MESSAGES_PER_SWEEP = 4;
-export const SWEEP_BYTES = 160;
-/** The part of a cell's ratings that all daemons of a data centre together may hold back. */
-export const UNTOLD_SHARE = 0.2;
-/** Times that news is sent on, for each power of ten of members. */
+/**
+ * Every n-th gossip message also carries anti-entropy items, so that peers that missed an update
+ * eventually receive it.
+ */
+export const ANTI_ENTROPY_INTERVAL_MESSAGES = 4;
+export const ANTI_ENTROPY_BYTES = 160;
+/**
+ * Fraction of a cell's ratings that all daemons of a data centre together may leave unannounced.
+ */
+export const MAX_UNANNOUNCED_SHARE = 0.2;
+/** Transmissions of an update within the data centre, per power of ten of its member count. */
 export const TRANSMITS_PER_LOG_SIZE = 2;
 export const REMOTE_TRANSMITS = 2;
 
-/** Answers that wait for the rater's next batch. */
+/** Answers queued for the next batch to the rater. */
 export const MAX_QUEUED_SAMPLES = 256;
 export const SAMPLE_BATCH_SIZE = 32;
 export const SAMPLE_FLUSH_MS = 250;
-/** Answers whose score has not come yet; the oldest are given up. */
+/** Submitted answers with a pending score; the oldest are dropped beyond this. */
 export const MAX_OUTSTANDING_SAMPLES = 4_096;
-/** Inline ratings remembered, so that the same answer is not rated twice. */
+/** Remembered inline ratings, which prevent rating the same answer twice. */
 export const MAX_RATED_INLINE = 512;
 export const POLL_INTERVAL_MS = 2_000;
 export const POLL_PAGE_SIZE = 500;
-/** A new poller reads so many numbers again; scores that were counted are known and dropped. */
+/**
+ * A new poller starts this many sequence numbers early; scores that were already counted are
+ * recognised and dropped.
+ */
 export const POLL_OVERLAP_SEQS = 500;
-/** Scores kept for a member that did not take them. */
+/** Scores buffered per member while delivery to it fails. */
 export const MAX_UNDELIVERED_SCORES = 1_000;
-/** Failures in a row after which the rater counts as down. */
-export const RATER_FAILURES = 2;
+/** Consecutive failures after which the rater is considered down. */
+export const MAX_CONSECUTIVE_RATER_FAILURES = 2;
 export const RATER_PROBE_MS = 5_000;
 
-/** Where the state of roll-outs stands in the table; the marks there belong to the configuration. */
+/**
+ * Key prefixes in the table. The safe-move rows belong to the configuration package and are only
+ * read here.
+ */
 export const ROLLOUT_PREFIX = 'rollout/';
 export const SAFE_MOVE_ROW_PREFIX = 'safeMove/';
 
 export const RUNNER_TICK_MS = 1_000;
 export const LEASE_DURATION_MS = 15_000;
 export const LEASE_RENEW_MS = 5_000;
-/** A new holder waits so long for the reports of daemons before it grants anything. */
-export const SETTLE_MS = 5_000;
-/** A holder issues its grants anew at least this often; one that is not renewed lapses. */
+/**
+ * After taking over the lease, the holder waits this long for the exposure reports of the daemons
+ * before it issues grants.
+ */
+export const TAKEOVER_SETTLE_MS = 5_000;
+/**
+ * Grants are reissued at least this often; a grant that is not renewed expires after its lifetime.
+ */
 export const GRANT_RENEW_MS = 60_000;
 export const GRANT_LIFETIME_MS = 300_000;
-/** After this time the answers of a dead daemon count as passed by, and its grant has long lapsed. */
-export const RETIRE_AFTER_MS = 600_000;
-/** An assignment that no answer has followed holds a part of the grant for this long. */
+/**
+ * Unrated answers of a dead daemon are written off after this time, long after its grant has
+ * expired.
+ */
+export const RETIRE_DEAD_DAEMON_AFTER_MS = 600_000;
+/** How long an assignment reserves part of the grant if no answer completes. */
 export const RESERVATION_MS = 60_000;
 export const SESSION_RESERVATION_MS = 600_000;
-/** Answers that a new session is expected to have. */
+/** Expected number of answers in a new session. */
 export const EXPECTED_SESSION_ANSWERS = 3;
-/** An answer without a rating counts as passed by once ratings have gone on for so long after it. */
-export const RATING_PATIENCE_MS = 60_000;
-/** Ratings of the stable version that speak for a candidate without ratings of its own. */
-export const STAND_IN_WEIGHT = 60;
+/**
+ * An unrated answer is written off once ratings have been published for this long after it ended.
+ */
+export const RATING_GRACE_MS = 60_000;
+/**
+ * Evidence weight up to which ratings of the stable version substitute for missing ratings of a
+ * candidate.
+ */
+export const PROXY_EVIDENCE_WEIGHT = 60;
 
-/** The policy's own settings; roll-outs begin in the shadow. */
+/** The defaults of the policy package, in which a roll-out starts with the shadow phase. */
 export const rolloutSettings: RolloutSettings = defaultRolloutSettings;
 
-/** Pairs of which one score is awaited; the oldest are given up. */
+/** Answer pairs with a pending score; the oldest are dropped beyond this. */
 export const MAX_OUTSTANDING_PAIRS = 1_024;
-/** Pairs of a source are news once they have grown by this part of what was told last. */
-export const PAIR_NEWS_GROWTH = 0.25;
+/**
+ * The pairs of a source are announced again after growing by this fraction since the last
+ * announcement.
+ */
+export const PAIR_ANNOUNCEMENT_GROWTH = 0.25;
 
-/** Endings of a task before the slow threshold counts. */
+/** Completed answers needed per model and task before any is classified as slow. */
 export const MIN_SLOW_SAMPLES = 20;
 export const SLOW_QUANTILE = 0.9;
-/** How far one ending moves the slow threshold, as part of it. */
+/** Relative adjustment of the slow threshold per observed answer. */
 export const SLOW_STEP = 0.05;
 
-/** Recent ratings of a task and version that are looked at when it drifts. */
+/** Recent ratings per task and version that determine the severity of a drift. */
 export const DRIFT_WINDOW = 20;
-/** A mean below this part of the earlier one is gross. */
+/** A drift is gross if the recent mean rating is below this fraction of the baseline. */
 export const GROSS_DRIFT_FACTOR = 0.5;
-/** Drifts of two versions within this time speak against the rater rather than the versions. */
-export const DRIFT_SUSPICION_MS = 600_000;
-/** How old the evidence is that recent ratings are compared with. */
-export const DRIFT_REFERENCE_MS = 600_000;
+/** If two versions drift within this time, the rater is suspected rather than the versions. */
+export const CONCURRENT_DRIFT_WINDOW_MS = 600_000;
+/** Minimum age of the baseline that recent ratings are compared with. */
+export const DRIFT_BASELINE_AGE_MS = 600_000;
--- a/packages/rollouts/src/evidence/cellKey.ts
+++ b/packages/rollouts/src/evidence/cellKey.ts
@@ -1,4 +1,4 @@
-/** Names of evidence cells as strings, for maps and messages. */
+/** String keys of evidence cells, for maps and gossip messages. */
 import { asId, type TeamId, type VersionId } from '@snipehaven/common';
 import type { EvidenceKey } from '@snipehaven/policy';
 import type { EvidenceSubject } from '../types.js';
@@ -6,7 +6,7 @@
 const SEPARATOR = '|';
 const PART_COUNT = 4;
 
-/** What the cell of a subject is about. */
+/** The evidence key of a subject. */
 export const toEvidenceKey = (subject: EvidenceSubject): EvidenceKey => ({
   team: asId<TeamId>(subject.team),
   task: subject.task,
@@ -14,11 +14,11 @@
   position: subject.isEscalated ? 'escalated' : 'direct',
 });
 
-/** Names of resources and tasks hold no separator, so the text is unique. */
+/** Unique because names of resources and tasks never contain the separator. */
 export const formatCellKey = (key: EvidenceKey): string =>
   [key.team, key.task, key.version, key.position === 'escalated' ? 'e' : 'd'].join(SEPARATOR);
 
-/** Undefined for a text that is no cell's name. */
+/** Returns undefined if the text is not a valid cell key. */
 export const parseCellKey = (text: string): EvidenceKey | undefined => {
   const parts = text.split(SEPARATOR);
   const [team, task, version, position] = parts;
--- a/packages/rollouts/src/evidence/driftWatch.ts
+++ b/packages/rollouts/src/evidence/driftMonitor.ts
@@ -1,6 +1,7 @@
 /**
- * Notices versions that got worse in production. Each daemon watches the ratings of all as they arrive,
- * and all raise the same era, so that it does not matter who notices first.
+ * Detects versions whose quality drops in production. Every daemon evaluates the ratings of all
+ * daemons and starts the same next era of evidence, so it does not matter which one detects the
+ * drift first.
  */
 import { asId, type Logger, type VersionId } from '@snipehaven/common';
 import type { SafeMoves } from '@snipehaven/configuration';
@@ -17,30 +18,30 @@
   type QualityEvidence,
 } from '@snipehaven/policy';
 import {
-  DRIFT_REFERENCE_MS,
-  DRIFT_SUSPICION_MS,
+  DRIFT_BASELINE_AGE_MS,
+  CONCURRENT_DRIFT_WINDOW_MS,
   DRIFT_WINDOW,
   GROSS_DRIFT_FACTOR,
 } from '../constants.js';
 import type { EvidenceCells } from './evidenceCells.js';
 
-/** What is watched of one version's answers to one task. */
-interface Watch {
+/** Drift detection state for one version and task. */
+interface DriftState {
   readonly era: number;
   readonly detector: DriftDetector;
-  /** Ratings already taken in, by bin. */
-  readonly seen: readonly number[];
-  readonly recent: readonly number[];
-  readonly reference: QualityEvidence;
-  /** Ratings so far as of some time ago; becomes the reference when it is old enough. */
-  readonly next: QualityEvidence;
-  readonly nextAtMs: number;
+  /** Number of ratings already ingested, per score bin. */
+  readonly countedBins: readonly number[];
+  readonly recentScores: readonly number[];
+  readonly baseline: QualityEvidence;
+  /** Evidence at the last rotation; replaces the baseline once it is old enough. */
+  readonly nextBaseline: QualityEvidence;
+  readonly nextBaselineAtMs: number;
 }
 
-export interface DriftWatchOptions {
+export interface DriftMonitorOptions {
   readonly cells: EvidenceCells;
   readonly safeMoves: Pick<SafeMoves, 'activate' | 'isVersionBlocked'>;
-  /** Versions that callers can get. */
+  /** Versions that callers can be served. */
   readonly listVersions: () => readonly string[];
   readonly incarnation: string;
   readonly logger: Logger;
@@ -52,21 +53,21 @@
 const toEvidence = (bins: readonly number[]): QualityEvidence =>
   poolEvidence({ ownScores: bins, taskScores: bins, versionScores: bins });
 
-export class DriftWatch {
-  readonly #options: DriftWatchOptions;
+export class DriftMonitor {
+  readonly #options: DriftMonitorOptions;
 
-  readonly #watches = new Map<string, Watch>();
+  readonly #states = new Map<string, DriftState>();
 
   readonly #revisions = new Map<string, number>();
 
-  /** When each version last drifted. */
+  /** Time of the last drift per version. */
   readonly #driftedAtMs = new Map<string, number>();
 
-  constructor(options: DriftWatchOptions) {
+  constructor(options: DriftMonitorOptions) {
     this.#options = options;
   }
 
-  /** Takes in the ratings that came since the last call. */
+  /** Evaluates the ratings received since the last call. */
   check(): void {
     const { cells, listVersions } = this.#options;
     listVersions()
@@ -83,47 +84,55 @@
     const key = `${version}|${task}`;
     const era = cells.getEra(version, task);
     const bins = this.#sumBins(version, task, era);
-    const known = this.#watches.get(key);
-    const watch = known === undefined || known.era !== era ? this.#startWatch(era, bins) : known;
-    const updated = this.#takeIn(watch, bins);
-    this.#watches.set(key, updated);
+    const known = this.#states.get(key);
+    const drift = known === undefined || known.era !== era ? this.#createState(era, bins) : known;
+    const updated = this.#ingest(drift, bins);
+    this.#states.set(key, updated);
     if (hasDrifted(updated.detector)) {
-      this.#raise(version, task, updated);
+      this.#handleDrift(version, task, updated);
     }
   }
 
-  /** A new life of the daemon, or a new era, begins with what is known and no suspicion. */
-  #startWatch(era: number, bins: readonly number[]): Watch {
+  /**
+   * After a daemon restart or a new era, the known evidence is the baseline and the detector is
+   * reset.
+   */
+  #createState(era: number, bins: readonly number[]): DriftState {
     const evidence = toEvidence(bins);
     return {
       era,
       detector: startDriftDetector(),
-      seen: bins,
-      recent: [],
-      reference: evidence.weight > 0 ? evidence : noEvidence,
-      next: evidence,
-      nextAtMs: Date.now(),
+      countedBins: bins,
+      recentScores: [],
+      baseline: evidence.weight > 0 ? evidence : noEvidence,
+      nextBaseline: evidence,
+      nextBaselineAtMs: Date.now(),
     };
   }
 
-  #takeIn(watch: Watch, bins: readonly number[]): Watch {
+  #ingest(drift: DriftState, bins: readonly number[]): DriftState {
     const added = bins.flatMap((count, bin) => {
-      const isNew = Math.max(0, count - (watch.seen[bin] ?? 0));
+      const isNew = Math.max(0, count - (drift.countedBins[bin] ?? 0));
       return new Array<number>(isNew).fill(getBinScore(bin));
     });
     const detector = added.reduce(
-      (state, score) => updateDriftDetector(state, score, watch.reference),
-      watch.detector,
+      (state, score) => updateDriftDetector(state, score, drift.baseline),
+      drift.detector,
     );
-    const recent = [...watch.recent, ...added].slice(-DRIFT_WINDOW);
-    return this.#renewReference({ ...watch, detector, recent, seen: bins });
+    const recent = [...drift.recentScores, ...added].slice(-DRIFT_WINDOW);
+    return this.#rotateBaseline({ ...drift, detector, recentScores: recent, countedBins: bins });
   }
 
-  #renewReference(watch: Watch): Watch {
+  #rotateBaseline(drift: DriftState): DriftState {
     const nowMs = Date.now();
-    return nowMs - watch.nextAtMs < DRIFT_REFERENCE_MS
-      ? watch
-      : { ...watch, reference: watch.next, next: toEvidence(watch.seen), nextAtMs: nowMs };
+    return nowMs - drift.nextBaselineAtMs < DRIFT_BASELINE_AGE_MS
+      ? drift
+      : {
+          ...drift,
+          baseline: drift.nextBaseline,
+          nextBaseline: toEvidence(drift.countedBins),
+          nextBaselineAtMs: nowMs,
+        };
   }
 
   #sumBins(version: string, task: string, era: number): readonly number[] {
@@ -132,16 +141,20 @@
       .list(version)
       .filter((entry) => entry.key.task === task && entry.key.position === 'direct')
       .filter((entry) => entry.era === era)
-      .reduce((sum, entry) => addCounts(sum, entry.getSum()), createEmptyCounts()).scoreCounts;
+      .reduce((sum, entry) => addCounts(sum, entry.getTotalCounts()), createEmptyCounts())
+      .scoreCounts;
   }
 
-  #raise(version: string, task: string, watch: Watch): void {
+  #handleDrift(version: string, task: string, drift: DriftState): void {
     const { cells, logger } = this.#options;
-    const before = watch.reference.mean;
-    const now = getMean(watch.recent);
-    logger.warn({ version, task, before, now }, 'a version got worse');
-    cells.startEra(version, task, watch.era + 1);
-    this.#watches.delete(`${version}|${task}`);
+    const before = drift.baseline.mean;
+    const now = getMean(drift.recentScores);
+    logger.warn(
+      { version, task, before, now },
+      'version quality dropped; starting a new evidence era',
+    );
+    cells.startEra(version, task, drift.era + 1);
+    this.#states.delete(`${version}|${task}`);
     const isGross = now < before * GROSS_DRIFT_FACTOR;
     const mayQuarantine = this.#mayQuarantine(version);
     this.#driftedAtMs.set(version, Date.now());
@@ -151,16 +164,17 @@
   }
 
   /**
-   * What goes wrong: the rater itself breaks and gives everything low scores; versions would be quarantined
-   * one after another until nothing can answer. One notices several versions that drift at once. So a
-   * second one within some minutes only loses its evidence, and the last one is never quarantined.
+   * A faulty rater that scores every answer low would make all versions drift, and they would be
+   * quarantined one after another until none could serve. A version is therefore not quarantined if
+   * another drifted within `CONCURRENT_DRIFT_WINDOW_MS` (it only loses its evidence), nor if it is
+   * the last usable version.
    */
   #mayQuarantine(version: string): boolean {
     const { safeMoves, listVersions } = this.#options;
     const isUsable = (other: string): boolean =>
       other !== version && !safeMoves.isVersionBlocked(other);
     const isSuspicious = [...this.#driftedAtMs].some(
-      ([other, atMs]) => other !== version && Date.now() - atMs < DRIFT_SUSPICION_MS,
+      ([other, atMs]) => other !== version && Date.now() - atMs < CONCURRENT_DRIFT_WINDOW_MS,
     );
     return !isSuspicious && !safeMoves.isVersionBlocked(version) && listVersions().some(isUsable);
   }
@@ -171,7 +185,7 @@
     try {
       await safeMoves.activate('quarantine', version, reason, incarnation);
     } catch (error) {
-      logger.error({ err: error, version }, 'quarantine failed');
+      logger.error({ err: error, version }, 'could not quarantine the version after a drift');
     }
   }
 }
--- a/packages/rollouts/src/evidence/evidenceCells.ts
+++ b/packages/rollouts/src/evidence/evidenceCells.ts
@@ -1,6 +1,6 @@
 /**
- * All evidence that a daemon holds. Everything joins by the maximum, so gossip may come late, twice or out
- * of order.
+ * The evidence cells of one daemon. Shares are merged by taking the maximum of each counter, so
+ * gossip may be delayed, duplicated or reordered.
  */
 import {
   createEmptyCounts,
@@ -14,13 +14,13 @@
 import { formatCellKey } from './cellKey.js';
 import { EvidenceEntry } from './evidenceEntry.js';
 
-/** A share with the cell that it belongs to. */
+/** A share and the cell that it belongs to. */
 export interface CellShare {
   readonly key: EvidenceKey;
   readonly share: EvidenceShare;
 }
 
-/** Told of each share that changed. */
+/** Called with every share that changed. */
 export type CellListener = (key: EvidenceKey, share: EvidenceShare) => void;
 
 export interface EvidenceCellsOptions {
@@ -37,7 +37,7 @@
 
   readonly #listeners = new Set<CellListener>();
 
-  /** Rises with each change of a version's cells. */
+  /** Revision per version, incremented on each change of its cells. */
   readonly #revisions = new Map<string, number>();
 
   constructor(options: EvidenceCellsOptions) {
@@ -48,26 +48,26 @@
     this.#listeners.add(listener);
   }
 
-  /** Counts an outcome of this daemon's own. */
+  /** Counts an outcome observed by this daemon. */
   count(key: EvidenceKey, outcome: Outcome): void {
     const entry = this.#getOrCreate(key);
     if (entry !== undefined) {
-      this.#noteChange(key, entry.count(this.#options.incarnation, outcome));
+      this.#notifyChange(key, entry.count(this.#options.incarnation, outcome));
     }
   }
 
-  /** Joins a share that a peer told of; returns whether it was news. */
+  /** Merges a share received from a peer; returns whether it changed anything. */
   merge({ key, share }: CellShare): boolean {
     const isAhead = share.epoch > getEpoch(Date.now()) + MAX_EPOCH_AHEAD;
     const changed = isAhead ? undefined : this.#getOrCreate(key)?.merge(share);
     if (changed === undefined) {
       return false;
     }
-    this.#noteChange(key, changed);
+    this.#notifyChange(key, changed);
     return true;
   }
 
-  /** Starts an era of a version's cells for a task; the news spreads with an empty share. */
+  /** Starts an era for a version and task; an empty share propagates it to the peers. */
   startEra(version: string, task: string, era: number): void {
     const { incarnation } = this.#options;
     const epoch = getEpoch(Date.now());
@@ -77,7 +77,7 @@
       .forEach(({ key }) => this.merge({ key, share }));
   }
 
-  /** Highest era of a version's cells for a task. */
+  /** The highest era of the cells of a version and task. */
   getEra(version: string, task: string): number {
     const eras = this.list(version)
       .filter(({ key }) => key.task === task)
@@ -85,26 +85,25 @@
     return Math.max(0, ...eras);
   }
 
-  /** Counts of the present era, older epochs weighed less. */
-  getFolded(key: EvidenceKey): OutcomeCounts | undefined {
-    return this.#entries.get(formatCellKey(key))?.getFolded();
+  /** Counts of the current era, with older epochs decayed. */
+  getDecayedCounts(key: EvidenceKey): OutcomeCounts | undefined {
+    return this.#entries.get(formatCellKey(key))?.getDecayedCounts();
   }
 
-  /** Counts of the present era, each answer counted in full. */
-  getSum(key: EvidenceKey): OutcomeCounts | undefined {
-    return this.#entries.get(formatCellKey(key))?.getSum();
+  /** Counts of the current era without decay. */
+  getTotalCounts(key: EvidenceKey): OutcomeCounts | undefined {
+    return this.#entries.get(formatCellKey(key))?.getTotalCounts();
   }
 
   get(cellKey: string): EvidenceEntry | undefined {
     return this.#entries.get(cellKey);
   }
 
-  /** A version's cells. */
   list(version: string): readonly EvidenceEntry[] {
     return [...(this.#byVersion.get(version) ?? [])];
   }
 
-  /** Whether a version's cells changed can be seen from this number. */
+  /** Changes whenever a cell of the version changes. */
   getRevision(version: string): number {
     return this.#revisions.get(version) ?? 0;
   }
@@ -113,7 +112,7 @@
     return [...this.#entries.keys()];
   }
 
-  /** Drops what has no weight any more. */
+  /** Compacts all cells and removes those whose evidence has fully decayed. */
   compact(): void {
     this.#entries.forEach((entry, cellKey) => {
       entry.compact();
@@ -137,7 +136,7 @@
     return created;
   }
 
-  #noteChange(key: EvidenceKey, share: EvidenceShare): void {
+  #notifyChange(key: EvidenceKey, share: EvidenceShare): void {
     this.#revisions.set(key.version, this.getRevision(key.version) + 1);
     this.#listeners.forEach((listener) => listener(key, share));
   }
--- a/packages/rollouts/src/evidence/evidenceEntry.ts
+++ b/packages/rollouts/src/evidence/evidenceEntry.ts
@@ -1,4 +1,4 @@
-/** One cell as a daemon holds it: counters of single daemons beside aggregates of data centres. */
+/** One evidence cell of a daemon: shares of single daemons and aggregates of data centres. */
 import {
   addCounts,
   addOutcome,
@@ -16,9 +16,9 @@
   type Outcome,
   type OutcomeCounts,
 } from '@snipehaven/policy';
-import { KEPT_OWN_EPOCHS } from '../constants.js';
+import { RETAINED_DAEMON_EPOCHS } from '../constants.js';
 
-/** Marks the sources that stand for a whole data centre. */
+/** Prefix of sources that aggregate a whole data centre. */
 const AGGREGATE_PREFIX = 'dc/';
 
 export const getAggregateSource = (dataCentre: string): string =>
@@ -26,9 +26,12 @@
 
 const isAggregateSource = (source: string): boolean => source.startsWith(AGGREGATE_PREFIX);
 
-/** A daemon's counters of an epoch that went into the aggregate would only take up memory. */
+/**
+ * Whether a daemon's share is old enough to be contained in the aggregate; keeping it would only
+ * use memory.
+ */
 const isOutdated = (share: EvidenceShare): boolean =>
-  !isAggregateSource(share.source) && share.epoch <= getEpoch(Date.now()) - KEPT_OWN_EPOCHS;
+  !isAggregateSource(share.source) && share.epoch <= getEpoch(Date.now()) - RETAINED_DAEMON_EPOCHS;
 
 const countFields = ['answerCount', 'errorCount', 'emptyCount', 'cutCount', 'slowCount'] as const;
 
@@ -36,12 +39,12 @@
   countFields.every((field) => a[field] === b[field]) &&
   a.scoreCounts.every((count, bin) => count === b.scoreCounts[bin]);
 
-/** Names a share within its cell. */
-export type ShareName = Pick<EvidenceShare, 'source' | 'epoch' | 'era'>;
+/** Identifies a share within its cell. */
+export type ShareId = Pick<EvidenceShare, 'source' | 'epoch' | 'era'>;
 
-const findShare = (cell: EvidenceCell, name: ShareName): EvidenceShare | undefined =>
+const findShare = (cell: EvidenceCell, id: ShareId): EvidenceShare | undefined =>
   cell.shares.find(
-    ({ source, epoch, era }) => source === name.source && epoch === name.epoch && era === name.era,
+    ({ source, epoch, era }) => source === id.source && epoch === id.epoch && era === id.era,
   );
 
 export class EvidenceEntry {
@@ -49,14 +52,14 @@
 
   readonly #aggregateSource: string;
 
-  /** Shares of daemons of the own data centre. */
-  #own = emptyCell;
+  /** Shares of the daemons in this data centre. */
+  #daemonShares = emptyCell;
 
-  #aggregates = emptyCell;
+  #aggregateShares = emptyCell;
 
-  #joined: EvidenceCell | undefined;
+  #mergedCell: EvidenceCell | undefined;
 
-  #folded: { readonly epoch: number; readonly counts: OutcomeCounts } | undefined;
+  #decayed: { readonly epoch: number; readonly counts: OutcomeCounts } | undefined;
 
   constructor(key: EvidenceKey, dataCentre: string) {
     this.key = key;
@@ -64,101 +67,105 @@
   }
 
   get era(): number {
-    return this.#own.era;
+    return this.#daemonShares.era;
   }
 
   get isEmpty(): boolean {
-    return this.#own.shares.length + this.#aggregates.shares.length === 0;
+    return this.#daemonShares.shares.length + this.#aggregateShares.shares.length === 0;
   }
 
   /**
-   * All that is known. The own data centre's aggregate joins what the daemons here count with what earlier
-   * ones counted: both are lower bounds of the truth, so their maximum counts nothing twice.
+   * All evidence of the cell. The aggregate of this data centre is merged with the sum of the
+   * current daemon shares, since it may contain counts of daemons that are gone. Both are lower
+   * bounds of the true counts, so taking their maximum counts nothing twice.
    */
   get cell(): EvidenceCell {
-    this.#joined ??= mergeCells(this.#aggregates, aggregateCell(this.#own, this.#aggregateSource));
-    return this.#joined;
+    this.#mergedCell ??= mergeCells(
+      this.#aggregateShares,
+      aggregateCell(this.#daemonShares, this.#aggregateSource),
+    );
+    return this.#mergedCell;
   }
 
-  /** The shares as they travel within the data centre. */
+  /** Shares as gossiped within the data centre. */
   get localShares(): readonly EvidenceShare[] {
-    return [...this.#own.shares, ...this.#aggregates.shares];
+    return [...this.#daemonShares.shares, ...this.#aggregateShares.shares];
   }
 
-  findLocalShare(name: ShareName): EvidenceShare | undefined {
-    return findShare(this.#own, name) ?? findShare(this.#aggregates, name);
+  findLocalShare(id: ShareId): EvidenceShare | undefined {
+    return findShare(this.#daemonShares, id) ?? findShare(this.#aggregateShares, id);
   }
 
-  /** Counts an outcome under the source; returns the share that it went into. */
+  /** Counts an outcome for the source; returns the updated share. */
   count(source: string, outcome: Outcome): EvidenceShare {
     const nowMs = Date.now();
-    const { era } = this.#own;
-    this.#own = addOutcome(this.#own, source, outcome, nowMs);
-    this.#forgetSums();
-    return findShare(this.#own, { source, epoch: getEpoch(nowMs), era }) as EvidenceShare;
+    const { era } = this.#daemonShares;
+    this.#daemonShares = addOutcome(this.#daemonShares, source, outcome, nowMs);
+    this.#invalidateCaches();
+    return findShare(this.#daemonShares, { source, epoch: getEpoch(nowMs), era }) as EvidenceShare;
   }
 
-  /** Joins a share; returns it as it stands now, or undefined where it was no news. */
+  /** Merges a share; returns the merged share, or undefined if nothing changed. */
   merge(share: EvidenceShare): EvidenceShare | undefined {
     if (isOutdated(share)) {
       return undefined;
     }
-    const side = isAggregateSource(share.source) ? this.#aggregates : this.#own;
-    const before = findShare(side, share);
-    const merged = mergeCells(side, { era: share.era, shares: [share] });
+    const cell = isAggregateSource(share.source) ? this.#aggregateShares : this.#daemonShares;
+    const before = findShare(cell, share);
+    const merged = mergeCells(cell, { era: share.era, shares: [share] });
     const after = findShare(merged, share) as EvidenceShare;
     const isKnown = before !== undefined && isSameCounts(before.counts, after.counts);
-    if (isKnown && merged.era === side.era) {
+    if (isKnown && merged.era === cell.era) {
       return undefined;
     }
-    this.#put(isAggregateSource(share.source), merged);
+    this.#replace(isAggregateSource(share.source), merged);
     return after;
   }
 
-  /** Counts of the present era, older epochs weighed less. */
-  getFolded(): OutcomeCounts {
+  /** Counts of the current era, with older epochs decayed. */
+  getDecayedCounts(): OutcomeCounts {
     const nowMs = Date.now();
     const epoch = getEpoch(nowMs);
-    if (this.#folded?.epoch !== epoch) {
-      this.#folded = { epoch, counts: foldCell(this.cell, nowMs) };
+    if (this.#decayed?.epoch !== epoch) {
+      this.#decayed = { epoch, counts: foldCell(this.cell, nowMs) };
     }
-    return this.#folded.counts;
+    return this.#decayed.counts;
   }
 
-  /** Counts of the present era, each answer counted in full. */
-  getSum(): OutcomeCounts {
+  /** Counts of the current era without decay. */
+  getTotalCounts(): OutcomeCounts {
     const { era, shares } = this.cell;
     return shares
       .filter((share) => share.era === era)
       .reduce((sum, share) => addCounts(sum, share.counts), createEmptyCounts());
   }
 
-  /** Moves old counters of single daemons into the aggregate, and drops what has no weight. */
+  /** Moves old daemon shares into the aggregate and drops fully decayed epochs. */
   compact(): void {
     const nowMs = Date.now();
-    if (this.#own.shares.some(isOutdated)) {
-      this.#aggregates = this.cell;
-      const shares = this.#own.shares.filter((share) => !isOutdated(share));
-      this.#own = { ...this.#own, shares };
+    if (this.#daemonShares.shares.some(isOutdated)) {
+      this.#aggregateShares = this.cell;
+      const shares = this.#daemonShares.shares.filter((share) => !isOutdated(share));
+      this.#daemonShares = { ...this.#daemonShares, shares };
     }
-    this.#aggregates = dropOldEpochs(this.#aggregates, nowMs);
-    this.#forgetSums();
+    this.#aggregateShares = dropOldEpochs(this.#aggregateShares, nowMs);
+    this.#invalidateCaches();
   }
 
-  #put(isAggregate: boolean, cell: EvidenceCell): void {
+  #replace(isAggregate: boolean, cell: EvidenceCell): void {
     if (isAggregate) {
-      this.#aggregates = cell;
+      this.#aggregateShares = cell;
     } else {
-      this.#own = cell;
+      this.#daemonShares = cell;
     }
-    const era = Math.max(this.#own.era, this.#aggregates.era);
-    this.#own = startEra(this.#own, era);
-    this.#aggregates = startEra(this.#aggregates, era);
-    this.#forgetSums();
+    const era = Math.max(this.#daemonShares.era, this.#aggregateShares.era);
+    this.#daemonShares = startEra(this.#daemonShares, era);
+    this.#aggregateShares = startEra(this.#aggregateShares, era);
+    this.#invalidateCaches();
   }
 
-  #forgetSums(): void {
-    this.#joined = undefined;
-    this.#folded = undefined;
+  #invalidateCaches(): void {
+    this.#mergedCell = undefined;
+    this.#decayed = undefined;
   }
 }
--- a/packages/rollouts/src/evidence/evidenceTopic.ts
+++ b/packages/rollouts/src/evidence/evidenceTopic.ts
@@ -1,4 +1,6 @@
-/** Spreads evidence along with membership's exchanges, within a bounded number of bytes. */
+/**
+ * Gossips evidence in the exchanges of the membership protocol, within a byte budget per message.
+ */
 import type { GossipTopic, MembershipView } from '@snipehaven/membership';
 import { SCORE_BIN_COUNT, sumBins, type EvidenceKey, type EvidenceShare } from '@snipehaven/policy';
 import {
@@ -10,10 +12,10 @@
 import {
   LOCAL_EVIDENCE_BYTES,
   REMOTE_EVIDENCE_BYTES,
-  SWEEP_BYTES,
-  UNTOLD_SHARE,
+  ANTI_ENTROPY_BYTES,
+  MAX_UNANNOUNCED_SHARE,
 } from '../constants.js';
-import { NewsQueues } from '../gossip/newsQueues.js';
+import { GossipQueues } from '../gossip/gossipQueues.js';
 import { PayloadBudget } from '../gossip/payloadBudget.js';
 import { formatCellKey, parseCellKey } from './cellKey.js';
 import type { EvidenceCells } from './evidenceCells.js';
@@ -23,17 +25,23 @@
 export interface EvidenceTopicOptions {
   readonly cells: EvidenceCells;
   readonly membership: MembershipView;
-  /** Candidates of roll-outs: all about them goes first, each ending too. */
+  /**
+   * Whether the version is the candidate of a roll-out. Its changes are sent first and include
+   * every counter change, not only ratings.
+   */
   readonly isUrgent: (version: string) => boolean;
   readonly getRatedSeq: () => number | undefined;
-  readonly noteRatedSeq: (seq: number) => void;
+  readonly recordRatedSeq: (seq: number) => void;
 }
 
-/** A rumor within the data centre names one share, one between data centres a whole cell. */
+/**
+ * Separates the parts of an update key. Updates within the data centre refer to one share, those
+ * between data centres to a whole cell.
+ */
 const SHARE_SEPARATOR = '\n';
 
-/** Shares whose told ratings are remembered; beyond it all count as news once more. */
-const MAX_TOLD = 20_000;
+/** Capacity of `#announced`; when full it is cleared, so that all shares are announced again. */
+const MAX_ANNOUNCED_SHARES = 20_000;
 
 const formatShareKey = (cellKey: string, share: EvidenceShare): string =>
   [cellKey, share.source, share.epoch, share.era].join(SHARE_SEPARATOR);
@@ -43,24 +51,29 @@
 
   readonly #options: EvidenceTopicOptions;
 
-  readonly #urgent: NewsQueues;
+  readonly #urgentQueues: GossipQueues;
 
-  readonly #news: NewsQueues;
+  readonly #queues: GossipQueues;
 
-  #sweepAt = 0;
+  #antiEntropyCursor = 0;
 
-  /** What was counted when a share was last in the news, by share. */
-  readonly #told = new Map<string, { readonly ratings: number; readonly lowRatings: number }>();
+  /** Rating counts per share at its last announcement. */
+  readonly #announced = new Map<
+    string,
+    { readonly ratings: number; readonly lowRatings: number }
+  >();
 
   constructor(options: EvidenceTopicOptions) {
     this.#options = options;
-    this.#urgent = new NewsQueues(options.membership);
-    this.#news = new NewsQueues(options.membership);
-    options.cells.onChange((key, share) => this.#noteChange(key, share));
+    this.#urgentQueues = new GossipQueues(options.membership);
+    this.#queues = new GossipQueues(options.membership);
+    options.cells.onChange((key, share) => this.#enqueueChange(key, share));
   }
 
   getPayload(peer: Member): EvidenceGossip | undefined {
-    const shares = this.#news.isLocal(peer) ? this.#listForLocal(peer) : this.#listForRemote(peer);
+    const shares = this.#queues.isLocal(peer)
+      ? this.#listForLocal(peer)
+      : this.#listForRemote(peer);
     const ratedSeq = this.#options.getRatedSeq();
     if (shares.length === 0 && ratedSeq === undefined) {
       return undefined;
@@ -72,7 +85,7 @@
     const gossip = evidenceGossipSchema.parse(payload);
     gossip.shares.forEach((tuple) => this.#mergeShare(tuple));
     if (gossip.ratedSeq !== undefined) {
-      this.#options.noteRatedSeq(gossip.ratedSeq);
+      this.#options.recordRatedSeq(gossip.ratedSeq);
     }
   }
 
@@ -85,45 +98,47 @@
   }
 
   /**
-   * Each answer changes the counter of its endings. But for candidates these are left to the sweep, and to
-   * the next rating in the same cell, so that ratings, which decide, come through.
+   * Every answer changes the outcome counters of its cell. Except for candidates, such changes
+   * alone are not announced: they are sent by anti-entropy or with the next rating of the cell,
+   * which leaves the byte budget to ratings, on which decisions are based.
    */
-  #noteChange(key: EvidenceKey, share: EvidenceShare): void {
+  #enqueueChange(key: EvidenceKey, share: EvidenceShare): void {
     const cellKey = formatCellKey(key);
     const shareKey = formatShareKey(cellKey, share);
     const isUrgent = this.#options.isUrgent(key.version);
-    if (!isUrgent && !this.#isRated(cellKey, shareKey, share)) {
+    if (!isUrgent && !this.#shouldAnnounce(cellKey, shareKey, share)) {
       return;
     }
-    const news = isUrgent ? this.#urgent : this.#news;
-    news.pushLocal(shareKey);
-    news.pushRemote(cellKey);
+    const queues = isUrgent ? this.#urgentQueues : this.#queues;
+    queues.pushLocal(shareKey);
+    queues.pushRemote(cellKey);
   }
 
   /**
-   * Whether enough ratings came since the share was last in the news. All daemons together may hold back a
-   * part of what is known, but no low score, for drift shows in these. An empty share tells of a new era.
+   * Whether enough ratings were added since the last announcement. All daemons together may leave a
+   * fraction of the known ratings unannounced, but no low score, because drift detection relies on
+   * those. An empty share announces a new era.
    */
-  #isRated(cellKey: string, shareKey: string, { counts }: EvidenceShare): boolean {
+  #shouldAnnounce(cellKey: string, shareKey: string, { counts }: EvidenceShare): boolean {
     const ratings = sumBins(counts.scoreCounts);
     const lowRatings = sumBins(counts.scoreCounts.slice(0, SCORE_BIN_COUNT / 2));
-    const told = this.#told.get(shareKey) ?? { ratings: 0, lowRatings: 0 };
+    const announced = this.#announced.get(shareKey) ?? { ratings: 0, lowRatings: 0 };
     const isEmpty = ratings + counts.answerCount === 0;
-    const isEnough = ratings - told.ratings >= this.#getNewsThreshold(cellKey);
-    if (!isEmpty && !isEnough && lowRatings === told.lowRatings) {
+    const isEnough = ratings - announced.ratings >= this.#getAnnouncementThreshold(cellKey);
+    if (!isEmpty && !isEnough && lowRatings === announced.lowRatings) {
       return false;
     }
-    if (this.#told.size >= MAX_TOLD) {
-      this.#told.clear();
+    if (this.#announced.size >= MAX_ANNOUNCED_SHARES) {
+      this.#announced.clear();
     }
-    this.#told.set(shareKey, { ratings, lowRatings });
+    this.#announced.set(shareKey, { ratings, lowRatings });
     return true;
   }
 
-  #getNewsThreshold(cellKey: string): number {
+  #getAnnouncementThreshold(cellKey: string): number {
     const { cells, membership } = this.#options;
-    const known = sumBins(cells.get(cellKey)?.getFolded().scoreCounts ?? []);
-    return Math.max(1, (known * UNTOLD_SHARE) / membership.listLocal().length);
+    const known = sumBins(cells.get(cellKey)?.getDecayedCounts().scoreCounts ?? []);
+    return Math.max(1, (known * MAX_UNANNOUNCED_SHARE) / membership.listLocal().length);
   }
 
   #listForLocal(peer: Member): readonly ShareTuple[] {
@@ -134,15 +149,18 @@
       const [cellKey = '', source = '', epoch, era] = shareKey.split(SHARE_SEPARATOR);
       const name = { source, epoch: Number(epoch), era: Number(era) };
       const share = cells.get(cellKey)?.findLocalShare(name);
-      return share === undefined || this.#add(cellKey, share, shares, budget);
+      return share === undefined || this.#tryAdd(cellKey, share, shares, budget);
     };
-    this.#urgent.take(peer, add);
-    this.#news.take(peer, add);
-    this.#sweepIfDue(true, shares);
+    this.#urgentQueues.collect(peer, add);
+    this.#queues.collect(peer, add);
+    this.#runAntiEntropyIfDue(true, shares);
     return shares;
   }
 
-  /** The own data centre speaks for itself only; what it heard of others goes along with the sweep. */
+  /**
+   * Sends only the aggregate of this data centre; aggregates of other data centres are sent by
+   * anti-entropy.
+   */
   #listForRemote(peer: Member): readonly ShareTuple[] {
     const { cells, membership } = this.#options;
     const shares: ShareTuple[] = [];
@@ -150,50 +168,50 @@
     const source = getAggregateSource(membership.self.dataCentre);
     const add = (cellKey: string): boolean => {
       const latest = cells.get(cellKey)?.cell.shares.findLast((share) => share.source === source);
-      return latest === undefined || this.#add(cellKey, latest, shares, budget);
+      return latest === undefined || this.#tryAdd(cellKey, latest, shares, budget);
     };
-    this.#urgent.take(peer, add);
-    this.#news.take(peer, add);
-    this.#sweepIfDue(false, shares);
+    this.#urgentQueues.collect(peer, add);
+    this.#queues.collect(peer, add);
+    this.#runAntiEntropyIfDue(false, shares);
     return shares;
   }
 
   /**
-   * What goes wrong: news is sent along a bounded number of times, so a member that was cut off, or has
-   * just started, never hears of some. One notices daemons whose evidence stays apart. A small part of
-   * each message therefore goes round over all that is known.
+   * Each update is sent a bounded number of times, so members that were partitioned or have just
+   * started miss some and their evidence would stay different. A small part of the messages
+   * therefore cycles through all known shares.
    */
-  #sweepIfDue(isLocal: boolean, shares: ShareTuple[]): void {
-    if (this.#news.isSweepDue()) {
-      this.#sweep(isLocal, shares);
+  #runAntiEntropyIfDue(isLocal: boolean, shares: ShareTuple[]): void {
+    if (this.#queues.isAntiEntropyDue()) {
+      this.#addAntiEntropyShares(isLocal, shares);
     }
   }
 
-  #sweep(isLocal: boolean, shares: ShareTuple[]): void {
+  #addAntiEntropyShares(isLocal: boolean, shares: ShareTuple[]): void {
     const { cells } = this.#options;
     const { cellKeys } = cells;
-    const budget = new PayloadBudget(SWEEP_BYTES);
+    const budget = new PayloadBudget(ANTI_ENTROPY_BYTES);
     for (let steps = 0; steps < cellKeys.length; steps += 1) {
-      const cellKey = cellKeys[this.#sweepAt % cellKeys.length] ?? '';
-      const round = Math.floor(this.#sweepAt / cellKeys.length);
+      const cellKey = cellKeys[this.#antiEntropyCursor % cellKeys.length] ?? '';
+      const round = Math.floor(this.#antiEntropyCursor / cellKeys.length);
       const entry = cells.get(cellKey);
       const known = (isLocal ? entry?.localShares : entry?.cell.shares) ?? [];
       const share = known[round % Math.max(1, known.length)];
-      if (share !== undefined && !this.#add(cellKey, share, shares, budget)) {
+      if (share !== undefined && !this.#tryAdd(cellKey, share, shares, budget)) {
         return;
       }
-      this.#sweepAt += 1;
+      this.#antiEntropyCursor += 1;
     }
   }
 
-  #add(
+  #tryAdd(
     cellKey: string,
     share: EvidenceShare,
     shares: ShareTuple[],
     budget: PayloadBudget,
   ): boolean {
     const tuple = encodeShare(cellKey, share);
-    if (!budget.take(tuple)) {
+    if (!budget.tryConsume(tuple)) {
       return false;
     }
     shares.push(tuple);
--- a/packages/rollouts/src/evidence/pooledEvidence.ts
+++ b/packages/rollouts/src/evidence/pooledEvidence.ts
@@ -1,4 +1,7 @@
-/** Pools the cells into estimates for the request path, which asks for several with each request. */
+/**
+ * Pools evidence cells into cached quality estimates, since planning a request reads several of
+ * them.
+ */
 import {
   addBins,
   addPrior,
@@ -11,24 +14,27 @@
   type QualityEvidence,
 } from '@snipehaven/policy';
 import type { VersionId } from '@snipehaven/common';
-import { EVIDENCE_CACHE_MS, MAX_CACHED_SUBJECTS, STAND_IN_WEIGHT } from '../constants.js';
+import { EVIDENCE_CACHE_MS, MAX_CACHED_SUBJECTS, PROXY_EVIDENCE_WEIGHT } from '../constants.js';
 import { formatCellKey } from './cellKey.js';
 import type { EvidenceCells } from './evidenceCells.js';
 
-interface Cached {
+interface CachedEvidence {
   readonly atMs: number;
   readonly evidence: QualityEvidence;
 }
 
-/** Score histograms of a version: over all tasks and for each. */
+/** Score histograms of a version, overall and per task. */
 interface VersionScores {
   readonly atMs: number;
   readonly all: readonly number[];
   readonly byTask: ReadonlyMap<string, readonly number[]>;
 }
 
-/** The stable version that speaks for a candidate of a roll-out; undefined for other versions. */
-export type FindStandIn = (version: VersionId) => VersionId | undefined;
+/**
+ * Finds the stable version whose evidence substitutes for that of a roll-out candidate; undefined
+ * for other versions.
+ */
+export type FindProxyVersion = (version: VersionId) => VersionId | undefined;
 
 const isFresh = (cached: { readonly atMs: number } | undefined, nowMs: number): boolean =>
   cached !== undefined && Math.abs(nowMs - cached.atMs) < EVIDENCE_CACHE_MS;
@@ -36,18 +42,18 @@
 export class PooledEvidence {
   readonly #cells: EvidenceCells;
 
-  readonly #findStandIn: FindStandIn;
+  readonly #findProxyVersion: FindProxyVersion;
 
-  readonly #subjects = new Map<string, Cached>();
+  readonly #subjects = new Map<string, CachedEvidence>();
 
   readonly #versions = new Map<string, VersionScores>();
 
-  constructor(cells: EvidenceCells, findStandIn: FindStandIn) {
+  constructor(cells: EvidenceCells, findProxyVersion: FindProxyVersion) {
     this.#cells = cells;
-    this.#findStandIn = findStandIn;
+    this.#findProxyVersion = findProxyVersion;
   }
 
-  /** Evidence at most a second old; the prior is added to it. */
+  /** Returns pooled evidence combined with the prior; at most `EVIDENCE_CACHE_MS` old. */
   get(key: EvidenceKey, prior: PriorQuality): QualityEvidence {
     const nowMs = Date.now();
     const cacheKey = `${formatCellKey(key)}|${prior.quality}|${prior.weight}`;
@@ -65,20 +71,20 @@
 
   #pool(key: EvidenceKey): QualityEvidence {
     const own = this.#poolVersion(key);
-    const standIn = this.#findStandIn(key.version);
-    return standIn === undefined || own.weight >= STAND_IN_WEIGHT
+    const proxyVersion = this.#findProxyVersion(key.version);
+    return proxyVersion === undefined || own.weight >= PROXY_EVIDENCE_WEIGHT
       ? own
-      : this.#fillUp(own, this.#poolVersion({ ...key, version: standIn }));
+      : this.#blendProxyEvidence(own, this.#poolVersion({ ...key, version: proxyVersion }));
   }
 
   /**
-   * What goes wrong: a candidate has no ratings, so no plan that must meet a target ever takes it, and the
-   * roll-out never gets any. One notices a roll-out that stands still with its grants unused. Where the
-   * assigner lets the candidate take the stable version's place, it is planned with that one's evidence,
-   * until it has as much of its own; the guard and the grants bound what that may cost.
+   * Without ratings, a candidate would never be planned for a request with a quality target, so the
+   * roll-out would stall with its grants unused. Once the assigner lets the candidate replace the
+   * stable version, its missing evidence is filled with that of the stable version until it has
+   * enough of its own. The guard and the grants limit the cost of a wrong estimate.
    */
-  #fillUp(own: QualityEvidence, stable: QualityEvidence): QualityEvidence {
-    const missing = Math.min(stable.weight, STAND_IN_WEIGHT - own.weight);
+  #blendProxyEvidence(own: QualityEvidence, stable: QualityEvidence): QualityEvidence {
+    const missing = Math.min(stable.weight, PROXY_EVIDENCE_WEIGHT - own.weight);
     const weight = own.weight + missing;
     if (missing <= 0) {
       return own;
@@ -92,7 +98,7 @@
   }
 
   #poolVersion(key: EvidenceKey): QualityEvidence {
-    const own = this.#cells.getFolded(key)?.scoreCounts;
+    const own = this.#cells.getDecayedCounts(key)?.scoreCounts;
     const version = this.#getVersionScores(key);
     if (version === undefined) {
       return noEvidence;
@@ -123,7 +129,7 @@
       .list(version)
       .filter(({ key }) => key.position === position)
       .forEach(({ key }) => {
-        const scores = this.#cells.getFolded(key)?.scoreCounts ?? emptyBins();
+        const scores = this.#cells.getDecayedCounts(key)?.scoreCounts ?? emptyBins();
         byTask.set(key.task, addBins(byTask.get(key.task) ?? emptyBins(), scores));
         all = addBins(all, scores);
       });
--- a/packages/rollouts/src/evidence/shareCodec.ts
+++ b/packages/rollouts/src/evidence/shareCodec.ts
@@ -1,4 +1,4 @@
-/** Shares of evidence as tuples that hold only the counters above zero. */
+/** Encodes evidence shares as tuples that contain only non-zero counters. */
 import {
   createEmptyCounts,
   SCORE_BIN_COUNT,
@@ -7,16 +7,15 @@
 } from '@snipehaven/policy';
 import type { ShareTuple } from '@snipehaven/protocol';
 
-const tailFields = ['answerCount', 'errorCount', 'emptyCount', 'cutCount', 'slowCount'] as const;
+const outcomeFields = ['answerCount', 'errorCount', 'emptyCount', 'cutCount', 'slowCount'] as const;
 
 const listCounters = (counts: OutcomeCounts): readonly number[] => [
   ...counts.scoreCounts,
-  ...tailFields.map((field) => counts[field]),
+  ...outcomeFields.map((field) => counts[field]),
 ];
 
-const COUNTER_COUNT = SCORE_BIN_COUNT + tailFields.length;
+const COUNTER_COUNT = SCORE_BIN_COUNT + outcomeFields.length;
 
-/** The tuple of a share of the cell. */
 export const encodeShare = (cellKey: string, share: EvidenceShare): ShareTuple => {
   const sparse = listCounters(share.counts).flatMap((count, index) =>
     count > 0 ? [index, count] : [],
@@ -24,7 +23,7 @@
   return [cellKey, share.source, share.epoch, share.era, sparse];
 };
 
-/** Undefined where the counters are malformed. */
+/** Returns undefined if the counters are malformed. */
 const decodeCounts = (sparse: readonly number[]): OutcomeCounts | undefined => {
   const counters = new Array<number>(COUNTER_COUNT).fill(0);
   for (let at = 0; at < sparse.length; at += 2) {
@@ -35,7 +34,7 @@
     }
     counters[index] = count;
   }
-  const tail = tailFields.map((field, index) => [field, counters[SCORE_BIN_COUNT + index] ?? 0]);
+  const tail = outcomeFields.map((field, index) => [field, counters[SCORE_BIN_COUNT + index] ?? 0]);
   return {
     ...createEmptyCounts(),
     ...(Object.fromEntries(tail) as Partial<OutcomeCounts>),
@@ -43,7 +42,7 @@
   };
 };
 
-/** The share of a tuple; undefined where it is malformed. */
+/** Returns undefined if the tuple is malformed. */
 export const decodeShare = (tuple: ShareTuple): EvidenceShare | undefined => {
   const [, source, epoch, era, sparse] = tuple;
   const counts = decodeCounts(sparse);
--- a/packages/rollouts/src/gossip/payloadBudget.ts
+++ b/packages/rollouts/src/gossip/payloadBudget.ts
@@ -1,22 +1,25 @@
-/** Fills a message up to a number of bytes. */
+/** Limits the size of a gossip payload. */
 
 export class PayloadBudget {
-  #leftBytes: number;
+  #remainingBytes: number;
 
-  #isUnused = true;
+  #isEmpty = true;
 
   constructor(sizeBytes: number) {
-    this.#leftBytes = sizeBytes;
+    this.#remainingBytes = sizeBytes;
   }
 
-  /** Whether the item fits; if so its bytes are taken. The first one always does, or it never went out. */
-  take(item: unknown): boolean {
+  /**
+   * Reserves space for the item; returns false if it does not fit. The first item always fits,
+   * otherwise an oversized one would never be sent.
+   */
+  tryConsume(item: unknown): boolean {
     const sizeBytes = JSON.stringify(item).length + 1;
-    if (sizeBytes > this.#leftBytes && !this.#isUnused) {
+    if (sizeBytes > this.#remainingBytes && !this.#isEmpty) {
       return false;
     }
-    this.#isUnused = false;
-    this.#leftBytes -= sizeBytes;
+    this.#isEmpty = false;
+    this.#remainingBytes -= sizeBytes;
     return true;
   }
 }
--- a/packages/rollouts/src/index.ts
+++ b/packages/rollouts/src/index.ts
@@ -3,5 +3,5 @@
 export * from './rollout/grantedRolloutAssigner.js';
 export * from './rollout/rolloutRunner.js';
 export * from './rolloutSystem.js';
-export * from './sharedEvidenceBook.js';
+export * from './sharedEvidenceStore.js';
 export * from './types.js';
--- a/packages/rollouts/src/rater/pairScores.ts
+++ b/packages/rollouts/src/rater/pairScores.ts
@@ -1,44 +1,44 @@
-/** Joins the scores of both answers of a pair, which come apart, late or never. */
+/** Combines the scores of the two answers of a pair, which arrive separately, late or never. */
 import { MAX_OUTSTANDING_PAIRS } from '../constants.js';
 import type { PairPart } from './sampleQueue.js';
 
-/** Both scores of a prompt that both versions answered. */
+/** Scores of both versions for the same prompt. */
 export interface ScoredPair {
   readonly candidateVersion: string;
   readonly stableScore: number;
   readonly candidateScore: number;
 }
 
-interface WaitingPair {
+interface PendingPair {
   readonly candidateVersion: string;
   readonly stable?: number;
   readonly candidate?: number;
 }
 
 export class PairScores {
-  readonly #waiting = new Map<string, WaitingPair>();
+  readonly #pending = new Map<string, PendingPair>();
 
-  /** Awaits the scores of a pair. */
-  open(pairId: string, candidateVersion: string): void {
-    this.#waiting.set(pairId, { candidateVersion });
-    if (this.#waiting.size > MAX_OUTSTANDING_PAIRS) {
-      const [oldest] = this.#waiting.keys();
-      this.#waiting.delete(oldest ?? '');
+  /** Starts pending for the scores of a pair. */
+  register(pairId: string, candidateVersion: string): void {
+    this.#pending.set(pairId, { candidateVersion });
+    if (this.#pending.size > MAX_OUTSTANDING_PAIRS) {
+      const [oldest] = this.#pending.keys();
+      this.#pending.delete(oldest ?? '');
     }
   }
 
-  /** Takes one score in; returns the pair once both are there. */
-  note({ pairId, side }: PairPart, score: number): ScoredPair | undefined {
-    const waiting = this.#waiting.get(pairId);
-    if (waiting === undefined) {
+  /** Records the score of one answer; returns the pair once both scores are known. */
+  recordScore({ pairId, side }: PairPart, score: number): ScoredPair | undefined {
+    const pending = this.#pending.get(pairId);
+    if (pending === undefined) {
       return undefined;
     }
-    const { candidateVersion, stable, candidate }: WaitingPair = { ...waiting, [side]: score };
+    const { candidateVersion, stable, candidate }: PendingPair = { ...pending, [side]: score };
     if (stable === undefined || candidate === undefined) {
-      this.#waiting.set(pairId, { ...waiting, [side]: score });
+      this.#pending.set(pairId, { ...pending, [side]: score });
       return undefined;
     }
-    this.#waiting.delete(pairId);
+    this.#pending.delete(pairId);
     return { candidateVersion, stableScore: stable, candidateScore: candidate };
   }
 }
--- a/packages/rollouts/src/rater/raterHealth.ts
+++ b/packages/rollouts/src/rater/raterHealth.ts
@@ -1,11 +1,11 @@
-/** Whether the rater answers, by the outcomes of recent calls. */
+/** Tracks whether the rater is available, from the outcomes of recent calls. */
 import type { RaterClient } from '@snipehaven/platform';
-import { RATER_FAILURES, RATER_PROBE_MS } from '../constants.js';
+import { MAX_CONSECUTIVE_RATER_FAILURES, RATER_PROBE_MS } from '../constants.js';
 
 export class RaterHealth {
   readonly #rater: RaterClient;
 
-  #failuresInRow = 0;
+  #consecutiveFailures = 0;
 
   #probedAtMs = -Infinity;
 
@@ -14,32 +14,33 @@
   }
 
   isUp(): boolean {
-    return this.#failuresInRow < RATER_FAILURES;
+    return this.#consecutiveFailures < MAX_CONSECUTIVE_RATER_FAILURES;
   }
 
-  noteSuccess(): void {
-    this.#failuresInRow = 0;
+  recordSuccess(): void {
+    this.#consecutiveFailures = 0;
   }
 
-  noteFailure(): void {
-    this.#failuresInRow += 1;
+  recordFailure(): void {
+    this.#consecutiveFailures += 1;
   }
 
-  /** Runs a call and notes its outcome. */
-  async watch<Result>(call: () => Promise<Result>): Promise<Result> {
+  /** Runs a call to the rater and records its outcome. */
+  async track<Result>(call: () => Promise<Result>): Promise<Result> {
     try {
       const result = await call();
-      this.noteSuccess();
+      this.recordSuccess();
       return result;
     } catch (error) {
-      this.noteFailure();
+      this.recordFailure();
       throw error;
     }
   }
 
   /**
-   * What goes wrong: once the rater counts as down nobody calls it, so nobody sees it return; or each
-   * request tries it and waits in vain. A small call now and then, off the request path, finds out.
+   * While the rater counts as down, requests no longer call it, so its recovery would go unnoticed;
+   * letting requests try it would make them wait in vain. A small periodic probe outside the
+   * request path detects the recovery instead.
    */
   async probeIfDown(): Promise<void> {
     const nowMs = Date.now();
@@ -47,6 +48,6 @@
       return;
     }
     this.#probedAtMs = nowMs;
-    await this.watch(() => this.#rater.fetchRatings(0, 1)).catch(() => undefined);
+    await this.track(() => this.#rater.fetchRatings(0, 1)).catch(() => undefined);
   }
 }
--- a/packages/rollouts/src/rater/sampleQueue.ts
+++ b/packages/rollouts/src/rater/sampleQueue.ts
@@ -1,4 +1,6 @@
-/** Hands answers to the rater in the background, and knows again the scores that come back. */
+/**
+ * Submits answers to the rater in batches in the background and matches returned scores to them.
+ */
 import type { RaterClient, RatingRequest } from '@snipehaven/platform';
 import { MAX_OUTSTANDING_SAMPLES, MAX_QUEUED_SAMPLES, SAMPLE_BATCH_SIZE } from '../constants.js';
 import type { AnswerSample, EvidenceSubject } from '../types.js';
@@ -6,19 +8,19 @@
 
 const ID_SEPARATOR = '~';
 
-/** The incarnation of the daemon that handed an answer to the rater, from the id it gave. */
+/** Extracts from a rating id the incarnation of the daemon that submitted the answer. */
 export const getSubmitter = (ratingId: string): string => ratingId.split(ID_SEPARATOR)[0] ?? '';
 
-/** Which part of which pair an answer is. */
+/** The pair that an answer belongs to, and its side. */
 export interface PairPart {
   readonly pairId: string;
   readonly side: 'stable' | 'candidate';
 }
 
-/** An answer whose score is awaited. */
+/** A submitted answer with a pending score. */
 export interface OutstandingSample {
   readonly subject: EvidenceSubject;
-  /** Absent for an answer that is rated for itself. */
+  /** Absent for an answer that is not part of a pair. */
   readonly part?: PairPart;
   readonly submittedAtMs: number;
 }
@@ -38,25 +40,25 @@
 
   #isSending = false;
 
-  #dropped = 0;
+  #droppedCount = 0;
 
   constructor(options: SampleQueueOptions) {
     this.#options = options;
   }
 
-  /** Answers that were not handed over, since the queue was full or the rater down. */
+  /** Answers not submitted because the queue was full, the rater was down or the call failed. */
   get droppedCount(): number {
-    return this.#dropped;
+    return this.#droppedCount;
   }
 
   get outstandingCount(): number {
     return this.#outstanding.size;
   }
 
-  /** Queues an answer; returns false where it is dropped. */
+  /** Queues an answer for rating; returns false if it was dropped. */
   add(subject: EvidenceSubject, sample: AnswerSample, part?: PairPart): boolean {
     if (this.#queued.length >= MAX_QUEUED_SAMPLES || !this.#options.health.isUp()) {
-      this.#dropped += 1;
+      this.#droppedCount += 1;
       return false;
     }
     const id = this.#createId(sample.requestId, subject);
@@ -65,11 +67,11 @@
     this.#queued.push({ id, team, task, version, prompt, answer });
     const outstanding = { subject, submittedAtMs: Date.now() };
     this.#outstanding.set(id, part === undefined ? outstanding : { ...outstanding, part });
-    this.#forgetOldest();
+    this.#evictOldest();
     return true;
   }
 
-  /** Sends what waits, batch by batch. */
+  /** Submits all queued answers in batches. */
   async flush(): Promise<void> {
     if (this.#isSending) {
       return;
@@ -85,22 +87,25 @@
   }
 
   /**
-   * The subject of a score, once: a score that comes again, by another poller or a repeated message, finds
-   * nothing any more.
+   * Removes and returns the sample of a score. A score that arrives again, from another poller or a
+   * repeated message, finds nothing and is thus counted once.
    */
-  takeScored(ratingId: string): OutstandingSample | undefined {
+  takeOutstanding(ratingId: string): OutstandingSample | undefined {
     const sample = this.#outstanding.get(ratingId);
     this.#outstanding.delete(ratingId);
     return sample;
   }
 
-  /** A failed batch may have arrived all the same: its scores are still awaited, it is not sent twice. */
+  /**
+   * A failed batch may still have reached the rater: its scores stay expected, and it is not sent
+   * again.
+   */
   async #send(batch: readonly RatingRequest[]): Promise<void> {
     const { rater, health } = this.#options;
     try {
-      await health.watch(() => rater.submit(batch));
+      await health.track(() => rater.submit(batch));
     } catch {
-      this.#dropped += batch.length;
+      this.#droppedCount += batch.length;
     }
   }
 
@@ -109,7 +114,7 @@
     return [this.#options.incarnation, requestId, position].join(ID_SEPARATOR);
   }
 
-  #forgetOldest(): void {
+  #evictOldest(): void {
     if (this.#outstanding.size > MAX_OUTSTANDING_SAMPLES) {
       const [oldest] = this.#outstanding.keys();
       this.#outstanding.delete(oldest ?? '');
--- a/packages/rollouts/src/rater/scorePoller.ts
+++ b/packages/rollouts/src/rater/scorePoller.ts
@@ -1,8 +1,9 @@
 /**
- * Fetches published scores. One daemon of each data centre does it for all and hands each score to the
- * daemon that asked for it, which counts it under its own name and knows it again if it comes twice.
- * So nothing has to be agreed on between pollers: when the duty moves, or a cut makes two of them, scores
- * are delivered again and counted once. What it costs: the scores of a daemon that died are lost.
+ * Polls published scores. One daemon per data centre polls and delivers each score to the daemon
+ * that submitted the answer; that daemon counts it as its own and ignores duplicates. Pollers
+ * therefore need no coordination: if the duty moves, or a partition leads to two pollers, scores
+ * are delivered repeatedly and counted once. The drawback is that scores for a daemon that has died
+ * are lost.
  */
 import { getErrorMessage, type Logger } from '@snipehaven/common';
 import type { MembershipView } from '@snipehaven/membership';
@@ -22,20 +23,20 @@
   readonly membership: MembershipView;
   readonly transport: PeerTransport;
   readonly logger: Logger;
-  /** Counts scores of this daemon's own answers. */
-  readonly takeScores: (scores: readonly Score[]) => void;
+  /** Counts scores of answers that this daemon submitted. */
+  readonly countScores: (scores: readonly Score[]) => void;
 }
 
 export class ScorePoller {
   readonly #options: ScorePollerOptions;
 
-  /** Scores up to here were handed out, as far as this daemon knows. */
+  /** Highest sequence number known to have been delivered by any poller. */
   #ratedSeq: number | undefined;
 
-  /** Where this daemon reads on; absent while it has not the duty. */
+  /** Sequence number to continue after; undefined while this daemon does not own the duty. */
   #cursor: number | undefined;
 
-  /** Scores that a member did not take yet, by incarnation. */
+  /** Scores not yet accepted by their member, by incarnation. */
   readonly #undelivered = new Map<string, readonly Score[]>();
 
   #isPolling = false;
@@ -50,20 +51,20 @@
     return this.#ratedSeq;
   }
 
-  /** When new scores were last heard of. */
+  /** Time at which new scores were last reported. */
   get advancedAtMs(): number {
     return this.#advancedAtMs;
   }
 
-  /** Takes in how far another poller has come. */
-  noteRatedSeq(seq: number): void {
+  /** Records the progress of another poller. */
+  recordRatedSeq(seq: number): void {
     if (seq > (this.#ratedSeq ?? -1)) {
       this.#ratedSeq = seq;
       this.#advancedAtMs = Date.now();
     }
   }
 
-  /** Polls where this daemon has the duty. */
+  /** Polls if this daemon owns the duty. */
   async poll(): Promise<void> {
     if (!this.#options.membership.ownsDuty(DUTY)) {
       this.#cursor = undefined;
@@ -76,38 +77,44 @@
     try {
       await this.#pollPages();
     } catch (error) {
-      this.#options.logger.debug({ error: getErrorMessage(error) }, 'no scores from the rater');
+      this.#options.logger.debug(
+        { error: getErrorMessage(error) },
+        'could not fetch scores from the rater',
+      );
     } finally {
       this.#isPolling = false;
     }
   }
 
   async #pollPages(): Promise<void> {
-    let after = this.#cursor ?? (await this.#findStart());
+    let after = this.#cursor ?? (await this.#findStartSeq());
     for (let isLastPage = false; !isLastPage;) {
       const page: RatingPage = await this.#fetch(after);
       isLastPage = page.ratings.length < POLL_PAGE_SIZE;
-      await this.#handOut(page.ratings);
+      await this.#deliverAll(page.ratings);
       const lastRead = page.ratings.at(-1)?.seq ?? after;
       after = isLastPage ? Math.max(lastRead, page.lastSeq) : lastRead;
       this.#cursor = after;
-      this.noteRatedSeq(after);
+      this.recordRatedSeq(after);
     }
   }
 
   #fetch(afterSeq: number): Promise<RatingPage> {
     const { rater, health } = this.#options;
-    return health.watch(() => rater.fetchRatings(afterSeq, POLL_PAGE_SIZE));
+    return health.track(() => rater.fetchRatings(afterSeq, POLL_PAGE_SIZE));
   }
 
-  /** A little before where the last poller was heard to be, or before the end of what is published. */
-  async #findStart(): Promise<number> {
+  /**
+   * Starts slightly before the known progress of the previous poller, or else before the last
+   * published score.
+   */
+  async #findStartSeq(): Promise<number> {
     const { rater, health } = this.#options;
-    const known = this.#ratedSeq ?? (await health.watch(() => rater.fetchRatings(0, 1))).lastSeq;
+    const known = this.#ratedSeq ?? (await health.track(() => rater.fetchRatings(0, 1))).lastSeq;
     return Math.max(0, known - POLL_OVERLAP_SEQS);
   }
 
-  async #handOut(ratings: readonly Rating[]): Promise<void> {
+  async #deliverAll(ratings: readonly Rating[]): Promise<void> {
     ratings.forEach(({ id, score }) => this.#addUndelivered(getSubmitter(id), { id, score }));
     const { membership } = this.#options;
     const members = new Map(membership.listLocal().map((member) => [member.incarnation, member]));
@@ -124,12 +131,12 @@
   }
 
   #addUndelivered(incarnation: string, score: Score): void {
-    const waiting = this.#undelivered.get(incarnation) ?? [];
-    this.#undelivered.set(incarnation, [...waiting, score].slice(-MAX_UNDELIVERED_SCORES));
+    const buffered = this.#undelivered.get(incarnation) ?? [];
+    this.#undelivered.set(incarnation, [...buffered, score].slice(-MAX_UNDELIVERED_SCORES));
   }
 
   async #deliver(incarnation: string, address: string, scores: readonly Score[]): Promise<void> {
-    const { membership, transport, takeScores, logger } = this.#options;
+    const { membership, transport, countScores: takeScores, logger } = this.#options;
     try {
       if (incarnation === membership.self.incarnation) {
         takeScores(scores);
@@ -138,7 +145,10 @@
       }
       this.#undelivered.delete(incarnation);
     } catch (error) {
-      logger.debug({ address, error: getErrorMessage(error) }, 'scores not delivered');
+      logger.debug(
+        { address, error: getErrorMessage(error) },
+        'could not deliver scores to a member',
+      );
     }
   }
 }
--- a/packages/rollouts/src/rollout/exposureAccount.ts
+++ b/packages/rollouts/src/rollout/exposureAccount.ts
@@ -1,15 +1,15 @@
-/** What one daemon has charged to its grant of one roll-out. */
-import { RATING_PATIENCE_MS, RESERVATION_MS, SESSION_RESERVATION_MS } from '../constants.js';
+/** Candidate answers that one daemon has charged to its grant of one roll-out. */
+import { RATING_GRACE_MS, RESERVATION_MS, SESSION_RESERVATION_MS } from '../constants.js';
 
-/** Answers that an assignment has announced and that have not ended yet. */
+/** Answers that an assignment is expected to produce and that have not ended yet. */
 interface Reservation {
   readonly requestId: string | undefined;
   readonly isSession: boolean;
   readonly expiresAtMs: number;
-  readonly left: number;
+  readonly remainingAnswers: number;
 }
 
-/** What is to be held of the grant for an assignment. */
+/** The part of the grant to reserve for an assignment. */
 export interface ReservationRequest {
   readonly requestId: string | undefined;
   readonly isSession: boolean;
@@ -23,8 +23,8 @@
 
   #reservations: readonly Reservation[] = [];
 
-  /** When the answers ended whose rating may still come, oldest first. */
-  #unjudged: readonly number[] = [];
+  /** End times of answers that may still be rated, oldest first. */
+  #unratedEndedAtMs: readonly number[] = [];
 
   get exposedCount(): number {
     return this.#exposedCount;
@@ -34,66 +34,76 @@
     return this.#judgedCount;
   }
 
-  /** Answers that ended, and those still to come. */
+  /** Ended answers plus reserved ones. */
   getChargedCount(): number {
     const nowMs = Date.now();
     this.#reservations = this.#reservations.filter(({ expiresAtMs }) => expiresAtMs > nowMs);
-    return this.#exposedCount + this.#reservations.reduce((sum, { left }) => sum + left, 0);
+    return (
+      this.#exposedCount +
+      this.#reservations.reduce((sum, { remainingAnswers }) => sum + remainingAnswers, 0)
+    );
   }
 
   /**
-   * What goes wrong: many requests are assigned before the first of them ends, and a grant of four becomes
-   * fifty answers. One notices it by daemons that report more than they were granted under load. Each
-   * assignment therefore holds its part of the grant until its answers have ended, or are overdue.
+   * Answers are counted when they end, so under load many requests could be assigned before the
+   * first one ends and a grant of four could become fifty answers. Each assignment therefore
+   * reserves its part of the grant until its answers have ended or the reservation expires.
    */
   reserve({ requestId, isSession, answers }: ReservationRequest): void {
     const durationMs = isSession ? SESSION_RESERVATION_MS : RESERVATION_MS;
     const expiresAtMs = Date.now() + durationMs;
-    const added = { requestId, isSession, expiresAtMs, left: answers };
+    const added = { requestId, isSession, expiresAtMs, remainingAnswers: answers };
     this.#reservations = [...this.#reservations, added];
   }
 
-  /** Gives back what a finished request held and did not use; a session's further answers stay. */
+  /**
+   * Releases the unused reservation of a finished request. Reservations of sessions remain, for
+   * their further answers.
+   */
   release(requestId: string): void {
     this.#reservations = this.#reservations.filter(
       (reservation) => reservation.requestId !== requestId || reservation.isSession,
     );
   }
 
-  noteEnding(isBad: boolean): void {
+  recordEnding(isBad: boolean): void {
     this.#exposedCount += 1;
-    this.#useReservation();
+    this.#consumeReservation();
     if (isBad) {
       this.#judgedCount += 1;
     } else {
-      this.#unjudged = [...this.#unjudged, Date.now()];
+      this.#unratedEndedAtMs = [...this.#unratedEndedAtMs, Date.now()];
     }
   }
 
-  /** Returns whether the rating judged an answer; one of an answer that ended badly does not. */
-  noteScore(): boolean {
-    const isAwaited = this.#unjudged.length > 0;
+  /**
+   * Returns whether the rating was counted as judging an answer. Ratings of answers that ended
+   * badly are not, since those were judged when they ended.
+   */
+  recordScore(): boolean {
+    const isAwaited = this.#unratedEndedAtMs.length > 0;
     if (isAwaited) {
-      this.#unjudged = this.#unjudged.slice(1);
+      this.#unratedEndedAtMs = this.#unratedEndedAtMs.slice(1);
       this.#judgedCount += 1;
     }
     return isAwaited;
   }
 
-  /** Counts answers as judged that ended long before the latest rating that is known of. */
-  notePassed(ratedUntilMs: number): void {
-    const kept = this.#unjudged.filter(
-      (endedAtMs) => endedAtMs + RATING_PATIENCE_MS > ratedUntilMs,
+  /** Counts unrated answers as judged if they ended long before the latest known rating. */
+  expireUnrated(ratedUntilMs: number): void {
+    const kept = this.#unratedEndedAtMs.filter(
+      (endedAtMs) => endedAtMs + RATING_GRACE_MS > ratedUntilMs,
     );
-    this.#judgedCount += this.#unjudged.length - kept.length;
-    this.#unjudged = kept;
+    this.#judgedCount += this.#unratedEndedAtMs.length - kept.length;
+    this.#unratedEndedAtMs = kept;
   }
 
-  #useReservation(): void {
+  #consumeReservation(): void {
     const [first, ...others] = this.#reservations;
     if (first !== undefined) {
-      const left = first.left - 1;
-      this.#reservations = left > 0 ? [{ ...first, left }, ...others] : others;
+      const remainingAnswers = first.remainingAnswers - 1;
+      this.#reservations =
+        remainingAnswers > 0 ? [{ ...first, remainingAnswers }, ...others] : others;
     }
   }
 }
--- a/packages/rollouts/src/rollout/exposureLedger.ts
+++ b/packages/rollouts/src/rollout/exposureLedger.ts
@@ -1,4 +1,6 @@
-/** What this daemon has exposed of each roll-out's candidate, and what is known of the outcomes. */
+/**
+ * Tracks this daemon's candidate answers of all roll-outs and how many of them have been judged.
+ */
 import type { VersionId } from '@snipehaven/common';
 import { ExposureAccount } from './exposureAccount.js';
 import type { RolloutCatalogue } from './rolloutCatalogue.js';
@@ -18,24 +20,27 @@
     return account;
   }
 
-  /** Gives back what a finished request held and did not use. */
+  /** Releases the unused reservations of a finished request. */
   release(requestId: string): void {
     this.#accounts.forEach((account) => account.release(requestId));
   }
 
-  /** Counts an answer of a candidate, wherever it was assigned. */
-  noteEnding(version: VersionId, isBad: boolean): void {
-    this.#findAccount(version)?.noteEnding(isBad);
+  /** Counts an answer of a candidate, including one that was not assigned by this daemon. */
+  recordEnding(version: VersionId, isBad: boolean): void {
+    this.#findAccount(version)?.recordEnding(isBad);
   }
 
   /** Counts a rating of a candidate's answer. */
-  noteScore(version: VersionId): void {
-    this.#findAccount(version)?.noteScore();
+  recordScore(version: VersionId): void {
+    this.#findAccount(version)?.recordScore();
   }
 
-  /** Ratings are known to have gone on until the moment. */
-  notePassed(ratedUntilMs: number): void {
-    this.#accounts.forEach((account) => account.notePassed(ratedUntilMs));
+  /**
+   * Writes off answers that should have been rated, given that ratings were published until this
+   * time.
+   */
+  expireUnrated(ratedUntilMs: number): void {
+    this.#accounts.forEach((account) => account.expireUnrated(ratedUntilMs));
   }
 
   #findAccount(version: VersionId): ExposureAccount | undefined {
--- a/packages/rollouts/src/rollout/grantPlanner.ts
+++ b/packages/rollouts/src/rollout/grantPlanner.ts
@@ -1,4 +1,4 @@
-/** Plans what each daemon may expose, from what the daemons report. */
+/** Plans the exposure grants of all daemons from their reports. */
 import { asId, type IncarnationId } from '@snipehaven/common';
 import type { MembershipView } from '@snipehaven/membership';
 import {
@@ -8,7 +8,7 @@
   type RolloutProgress,
   type RolloutSettings,
 } from '@snipehaven/policy';
-import { GRANT_RENEW_MS, RETIRE_AFTER_MS } from '../constants.js';
+import { GRANT_RENEW_MS, RETIRE_DEAD_DAEMON_AFTER_MS } from '../constants.js';
 import type { RolloutStates } from './rolloutStates.js';
 import type { GrantMessage } from './types.js';
 
@@ -26,7 +26,7 @@
 
   readonly #settings: RolloutSettings;
 
-  /** When a daemon was first seen dead. */
+  /** Time at which each dead daemon was first found dead. */
   readonly #deadSinceMs = new Map<string, number>();
 
   #plan = 0;
@@ -39,7 +39,10 @@
     this.#membership = membership;
   }
 
-  /** Plans anew and puts the grants into the state, from where they spread. */
+  /**
+   * Recomputes the grants and puts changed or due ones into the shared state, which gossip
+   * propagates.
+   */
   plan(input: GrantPlanInput): void {
     const { definition, progress, ratingCount } = input;
     const daemons = this.#listDaemons(definition.rolloutId, input.isRaterUp);
@@ -79,15 +82,16 @@
       ...states.listExposures(rolloutId).map(({ incarnation }) => incarnation),
     ]);
     return [...incarnations].map((incarnation) =>
-      this.#describe(rolloutId, incarnation, isRaterUp),
+      this.#describeDaemon(rolloutId, incarnation, isRaterUp),
     );
   }
 
   /**
-   * A dead daemon's answers that nobody judged hold their part of the budget, for they may be bad and were
-   * given. After a long time their ratings will not come any more, for only that daemon knew them again.
+   * Unjudged answers of a dead daemon still count against the budget, since callers received them
+   * and they may be bad. After `RETIRE_DEAD_DAEMON_AFTER_MS` they are written off: only that daemon
+   * could have matched their ratings, so none will arrive.
    */
-  #describe(rolloutId: string, incarnation: string, isRaterUp: boolean): DaemonExposure {
+  #describeDaemon(rolloutId: string, incarnation: string, isRaterUp: boolean): DaemonExposure {
     const exposure = this.#states.getExposure(rolloutId, incarnation);
     const grant = this.#states.getGrantMessage(rolloutId, incarnation);
     const isLive = this.#membership.isIncarnationAlive(incarnation);
@@ -113,6 +117,6 @@
     }
     const sinceMs = this.#deadSinceMs.get(incarnation) ?? Date.now();
     this.#deadSinceMs.set(incarnation, sinceMs);
-    return Date.now() - sinceMs >= RETIRE_AFTER_MS;
+    return Date.now() - sinceMs >= RETIRE_DEAD_DAEMON_AFTER_MS;
   }
 }
--- a/packages/rollouts/src/rollout/grantedRolloutAssigner.ts
+++ b/packages/rollouts/src/rollout/grantedRolloutAssigner.ts
@@ -1,4 +1,4 @@
-/** Assigns new sessions and sessionless requests within this daemon's grants. */
+/** Assigns versions to new sessions and sessionless requests within the grants of this daemon. */
 import type { Random, VersionId } from '@snipehaven/common';
 import type { SafeMoves } from '@snipehaven/configuration';
 import {
@@ -24,8 +24,8 @@
   readonly settings: RolloutSettings;
 }
 
-/** Decisions of recent requests, so that a plan made again does not draw again. */
-const MAX_REMEMBERED = 1_024;
+/** Capacity of the assignment cache, which keeps replanning of a request from drawing again. */
+const MAX_CACHED_ASSIGNMENTS = 1_024;
 
 const assignStable = ({ stableVersion, candidateVersion }: RolloutDefinition): ModelAssignment => ({
   version: stableVersion,
@@ -37,15 +37,15 @@
 });
 
 /**
- * A finished roll-out hides the old stable version from new sessions and sessionless requests for as long as
- * it stays declared and its candidate may be used: otherwise the cheaper or better proven old version
- * would go on winning the choice. Sessions that began on it stay, and a caller that names the
- * version, or may use no other of the model, still gets it.
+ * A finished roll-out excludes the old stable version from new sessions and sessionless requests
+ * while it remains declared and its candidate is usable; otherwise the old version, being cheaper
+ * or having more evidence, would keep being chosen. Sessions that started on the old version keep
+ * it, and callers that name it or may use no other version of the model still get it.
  */
 export class GrantedRolloutAssigner implements RolloutAssigner {
   readonly #options: GrantedRolloutAssignerOptions;
 
-  readonly #decided = new Map<string, ModelAssignment>();
+  readonly #assignments = new Map<string, ModelAssignment>();
 
   constructor(options: GrantedRolloutAssignerOptions) {
     this.#options = options;
@@ -60,10 +60,10 @@
       return assignStable(definition);
     }
     const key = `${audience.requestId}|${definition.rolloutId}`;
-    const decided = audience.requestId === undefined ? undefined : this.#decided.get(key);
-    const assignment = decided ?? this.#decide(definition, audience);
+    const cached = audience.requestId === undefined ? undefined : this.#assignments.get(key);
+    const assignment = cached ?? this.#decide(definition, audience);
     if (audience.requestId !== undefined) {
-      this.#remember(key, assignment);
+      this.#cacheAssignment(key, assignment);
     }
     return assignment;
   }
@@ -72,10 +72,12 @@
     this.#options.ledger.release(requestId);
     this.#options.catalogue
       .list()
-      .forEach(({ definition }) => this.#decided.delete(`${requestId}|${definition.rolloutId}`));
+      .forEach(({ definition }) =>
+        this.#assignments.delete(`${requestId}|${definition.rolloutId}`),
+      );
   }
 
-  /** A mark beats any share, whenever it arrived. */
+  /** A withdrawal or quarantine overrides any share, whenever it was received. */
   #isCandidateUsable(
     { candidateVersion }: RolloutDefinition,
     { usableVersions }: AssignmentAudience,
@@ -137,8 +139,8 @@
   }
 
   /**
-   * In the first stage, where nearly nothing is known, callers get only answers that were rated well; later
-   * the wait for the rating costs more than the little that it still prevents.
+   * In the first stage, when little is known, callers receive only answers that were rated well.
+   * Later the latency of inline rating outweighs the few bad answers it would prevent.
    */
   #isGated(
     stableVersion: VersionId,
@@ -153,11 +155,11 @@
     return isFirst && allowsCascade && !isSession && isRaterUp() && isStableUsable;
   }
 
-  #remember(key: string, assignment: ModelAssignment): void {
-    this.#decided.set(key, assignment);
-    if (this.#decided.size > MAX_REMEMBERED) {
-      const [oldest] = this.#decided.keys();
-      this.#decided.delete(oldest ?? '');
+  #cacheAssignment(key: string, assignment: ModelAssignment): void {
+    this.#assignments.set(key, assignment);
+    if (this.#assignments.size > MAX_CACHED_ASSIGNMENTS) {
+      const [oldest] = this.#assignments.keys();
+      this.#assignments.delete(oldest ?? '');
     }
   }
 }
--- a/packages/rollouts/src/rollout/guardWatch.ts
+++ b/packages/rollouts/src/rollout/guardEvaluator.ts
@@ -1,4 +1,4 @@
-/** Evaluates the guard over the evidence that this daemon holds. */
+/** Evaluates the roll-out guard over the evidence known to this daemon. */
 import {
   createEmptyCounts,
   evaluateGuard,
@@ -12,19 +12,19 @@
 import type { EvidenceCells } from '../evidence/evidenceCells.js';
 import type { RolloutStates } from './rolloutStates.js';
 
-interface Evaluated {
-  readonly inputs: string;
+interface CachedResult {
+  readonly cacheKey: string;
   readonly result: GuardResult;
 }
 
-export class GuardWatch {
+export class GuardEvaluator {
   readonly #cells: EvidenceCells;
 
   readonly #states: RolloutStates;
 
   readonly #settings: RolloutSettings;
 
-  readonly #evaluated = new Map<string, Evaluated>();
+  readonly #results = new Map<string, CachedResult>();
 
   constructor(cells: EvidenceCells, states: RolloutStates, settings: RolloutSettings) {
     this.#cells = cells;
@@ -32,15 +32,18 @@
     this.#settings = settings;
   }
 
-  /** Pairs of both versions' answers that were rated, over all daemons. */
+  /** Number of rated answer pairs over all daemons. */
   getPairCount({ rolloutId }: RolloutDefinition): number {
     return sumBins(this.#states.getPairCounts(rolloutId));
   }
 
-  /** The guard's verdict; computed anew only where the evidence or the stage has changed. */
+  /**
+   * Returns the verdict of the guard; recomputed only if the evidence, the stage or the definition
+   * changed.
+   */
   evaluate(definition: RolloutDefinition, progress: RolloutProgress): GuardResult {
     const pairCounts = this.#states.getPairCounts(definition.rolloutId);
-    const inputs = [
+    const cacheKey = [
       sumBins(pairCounts),
       this.#cells.getRevision(definition.candidateVersion),
       progress.phase,
@@ -48,18 +51,18 @@
       definition.maxFailureIncreasePct,
       definition.stages.length,
     ].join();
-    const known = this.#evaluated.get(definition.rolloutId);
-    if (known?.inputs === inputs) {
+    const known = this.#results.get(definition.rolloutId);
+    if (known?.cacheKey === cacheKey) {
       return known.result;
     }
     const strata = this.#listStrata(definition);
     const settings = this.#settings;
     const result = evaluateGuard({ definition, progress, strata, pairCounts, settings });
-    this.#evaluated.set(definition.rolloutId, { inputs, result });
+    this.#results.set(definition.rolloutId, { cacheKey, result });
     return result;
   }
 
-  /** Mean ratings of both versions; undefined without any. */
+  /** Mean ratings of both versions; undefined for a version without ratings. */
   getMeanRatings({ candidateVersion, stableVersion }: RolloutDefinition): {
     readonly candidate: number | undefined;
     readonly stable: number | undefined;
@@ -70,14 +73,15 @@
     };
   }
 
-  /** One stratum for each team and task, so that prompts are compared with prompts of their kind. */
+  /** One stratum per team and task, so that only similar prompts are compared. */
   #listStrata({ candidateVersion, stableVersion }: RolloutDefinition): readonly GuardStratum[] {
     return this.#cells
       .list(candidateVersion)
       .filter(({ key }) => key.position === 'direct')
       .map(({ key }) => ({
-        candidate: this.#cells.getSum(key) ?? createEmptyCounts(),
-        stable: this.#cells.getFolded({ ...key, version: stableVersion }) ?? createEmptyCounts(),
+        candidate: this.#cells.getTotalCounts(key) ?? createEmptyCounts(),
+        stable:
+          this.#cells.getDecayedCounts({ ...key, version: stableVersion }) ?? createEmptyCounts(),
       }))
       .filter(({ candidate }) => candidate.answerCount + sumBins(candidate.scoreCounts) > 0);
   }
@@ -86,7 +90,7 @@
     let weight = 0;
     let sum = 0;
     this.#cells.list(version).forEach(({ key }) => {
-      this.#cells.getFolded(key)?.scoreCounts.forEach((count, bin, bins) => {
+      this.#cells.getDecayedCounts(key)?.scoreCounts.forEach((count, bin, bins) => {
         weight += count;
         sum += (count * (bin + 0.5)) / bins.length;
       });
--- a/packages/rollouts/src/rollout/rolloutCatalogue.ts
+++ b/packages/rollouts/src/rollout/rolloutCatalogue.ts
@@ -1,11 +1,10 @@
-/** The declared roll-outs as the decisions take them. */
+/** Declared roll-outs, converted for the roll-out logic. */
 import { createHash } from 'node:crypto';
 import { asId, type VersionId } from '@snipehaven/common';
 import type { ConfigurationStore } from '@snipehaven/configuration';
 import type { RolloutDefinition } from '@snipehaven/policy';
 import type { Resource } from '@snipehaven/resources';
 
-/** A declared roll-out with its name and model. */
 export interface DeclaredRollout {
   readonly name: string;
   readonly model: string;
@@ -14,15 +13,15 @@
 
 const ID_DIGEST_LENGTH = 10;
 
-/** Short, since it travels with each report. */
+/** Short because it is part of every report. */
 const createRolloutId = (name: string, parts: readonly string[]): string => {
   const digest = createHash('sha256').update(parts.join('\n')).digest('base64url');
   return `${name}/${digest.slice(0, ID_DIGEST_LENGTH)}`;
 };
 
 /**
- * Pausing, and other stages or budgets, go on with the same roll-out; another pair of versions, or a
- * resource created anew, is another one that begins at its first stage.
+ * Pausing a roll-out or changing its stages or budget continues the same roll-out. A different pair
+ * of versions, or a recreated resource, is a new roll-out that starts at the first stage.
  */
 const toDeclared = ({ metadata, spec }: Resource<'Rollout'>): DeclaredRollout => ({
   name: metadata.name,
--- a/packages/rollouts/src/rollout/rolloutCodec.ts
+++ b/packages/rollouts/src/rollout/rolloutCodec.ts
@@ -1,4 +1,4 @@
-/** Grants, exposures and pairs as tuples, to save bytes. */
+/** Encodes grants, exposures and pairs as tuples to reduce the message size. */
 import { emptyPairCounts, type PairShare } from '@snipehaven/policy';
 import type { ExposureTuple, GrantTuple, PairTuple } from '@snipehaven/protocol';
 import type { ExposureMessage, GrantMessage } from './types.js';
@@ -30,7 +30,7 @@
   return { rolloutId, incarnation, grantedCount, exposedCount, judgedCount };
 };
 
-/** The pairs of one source for one roll-out. */
+/** Rated pairs of one source for one roll-out. */
 export interface RolloutPairs {
   readonly rolloutId: string;
   readonly share: PairShare;
@@ -42,7 +42,7 @@
   share.counts.flatMap((count, bin) => (count === 0 ? [] : [bin, count])),
 ];
 
-/** Bins that this version does not know are left out. */
+/** Bins unknown to this software version are ignored. */
 export const decodePairs = ([rolloutId, source, filled]: PairTuple): RolloutPairs => {
   const counts = emptyPairCounts();
   for (let at = 0; at + 1 < filled.length; at += 2) {
--- a/packages/rollouts/src/rollout/rolloutHolder.ts
+++ b/packages/rollouts/src/rollout/rolloutLeaseHolder.ts
@@ -1,4 +1,4 @@
-/** One roll-out as its holder drives it: under a lease, by conditional writes. */
+/** Drives one roll-out while holding its lease. All state changes are conditional writes. */
 import type { Logger } from '@snipehaven/common';
 import type { SafeMoves } from '@snipehaven/configuration';
 import type { Lease, LeaseKeeper, MembershipView } from '@snipehaven/membership';
@@ -11,18 +11,18 @@
   type RolloutSettings,
 } from '@snipehaven/policy';
 import type { TimelineRecorder } from '@snipehaven/timeline';
-import { LEASE_DURATION_MS, LEASE_RENEW_MS, SETTLE_MS } from '../constants.js';
+import { LEASE_DURATION_MS, LEASE_RENEW_MS, TAKEOVER_SETTLE_MS } from '../constants.js';
 import { GrantPlanner } from './grantPlanner.js';
-import type { GuardWatch } from './guardWatch.js';
+import type { GuardEvaluator } from './guardEvaluator.js';
 import type { DeclaredRollout } from './rolloutCatalogue.js';
 import { getLeaseName, type RolloutRows } from './rolloutRows.js';
 import type { RolloutStates } from './rolloutStates.js';
 
-export interface RolloutHolderOptions {
+export interface RolloutLeaseHolderOptions {
   readonly leases: LeaseKeeper;
   readonly rows: RolloutRows;
   readonly states: RolloutStates;
-  readonly guard: GuardWatch;
+  readonly guard: GuardEvaluator;
   readonly safeMoves: Pick<SafeMoves, 'isActive' | 'isVersionBlocked'>;
   readonly membership: MembershipView;
   readonly timeline: TimelineRecorder;
@@ -31,70 +31,72 @@
   readonly settings: RolloutSettings;
 }
 
-/** The state as this holder last read or wrote it. */
-interface Held {
+/** Roll-out state as last read or written under the current lease. */
+interface HeldRollout {
   readonly lease: Lease;
   readonly progress: RolloutProgress;
   readonly rowVersion: number;
   readonly sinceMs: number;
 }
 
-export class RolloutHolder {
-  readonly #options: RolloutHolderOptions;
+export class RolloutLeaseHolder {
+  readonly #options: RolloutLeaseHolderOptions;
 
   readonly #planner: GrantPlanner;
 
-  #held: Held | undefined;
+  #held: HeldRollout | undefined;
 
-  #triedAtMs = -Infinity;
+  #leaseRequestedAtMs = -Infinity;
 
   #lease: Lease | undefined;
 
-  constructor(options: RolloutHolderOptions) {
+  constructor(options: RolloutLeaseHolderOptions) {
     this.#options = options;
     this.#planner = new GrantPlanner(options.states, options.membership, options.settings);
   }
 
-  /** Whether this daemon drives the roll-out now. */
   isHolding(): boolean {
     return this.#held?.lease.isHeld() === true;
   }
 
-  /** One step; throws the platform's errors. */
+  /** Renews the lease, evaluates the guard and issues grants; throws the errors of the platform. */
   async step(declared: DeclaredRollout): Promise<void> {
-    const lease = await this.#keepLease(declared.name);
+    const lease = await this.#renewLease(declared.name);
     if (lease === undefined) {
       this.#held = undefined;
       return;
     }
     const { rolloutId } = declared.definition;
     if (this.#held?.lease !== lease || this.#held.progress.rolloutId !== rolloutId) {
-      await this.#adopt(declared, lease);
+      await this.#takeOver(declared, lease);
     }
-    await this.#judge(declared);
-    this.#grant(declared);
+    await this.#applyGuard(declared);
+    this.#issueGrants(declared);
   }
 
-  /** Gives the lease up, for the duty went to another or the roll-out is gone. */
-  async leave(): Promise<void> {
+  /**
+   * Releases the lease, because the duty moved to another daemon or the roll-out is no longer
+   * declared.
+   */
+  async releaseLease(): Promise<void> {
     const lease = this.#lease;
     this.#lease = undefined;
     this.#held = undefined;
     await lease?.release();
   }
 
-  async #keepLease(name: string): Promise<Lease | undefined> {
+  async #renewLease(name: string): Promise<Lease | undefined> {
     const nowMs = Date.now();
-    const isDue = Math.abs(nowMs - this.#triedAtMs) >= LEASE_RENEW_MS;
+    const isDue = Math.abs(nowMs - this.#leaseRequestedAtMs) >= LEASE_RENEW_MS;
     if (isDue || this.#lease?.isHeld() === false) {
-      this.#triedAtMs = nowMs;
+      this.#leaseRequestedAtMs = nowMs;
       this.#lease = await this.#options.leases.acquire(getLeaseName(name), LEASE_DURATION_MS);
     }
     return this.#lease?.isHeld() ? this.#lease : undefined;
   }
 
-  /** Goes on where the last holder stopped, under the own fence, or begins. */
-  async #adopt({ name, definition }: DeclaredRollout, lease: Lease): Promise<void> {
+  /** Resumes the stored state under the fence of this lease, or starts the roll-out. */
+  async #takeOver({ name, definition }: DeclaredRollout, lease: Lease): Promise<void> {
     this.#held = undefined;
     const stored = await this.#options.rows.read(name);
     const isSame = stored.progress?.rolloutId === definition.rolloutId;
@@ -112,11 +114,11 @@
       this.#options.states.mergeProgress(progress);
       return;
     }
-    const raised = isSame ? {} : { raisedVersion: definition.candidateVersion };
-    await this.#write(name, held, progress, raised);
+    const promoted = isSame ? {} : { promotedVersion: definition.candidateVersion };
+    await this.#write(name, held, progress, promoted);
   }
 
-  async #judge({ name, definition }: DeclaredRollout): Promise<void> {
+  async #applyGuard({ name, definition }: DeclaredRollout): Promise<void> {
     const held = this.#held;
     if (held === undefined || held.progress.phase === 'quarantined') {
       return;
@@ -125,38 +127,41 @@
     const { candidateVersion } = definition;
     const result = guard.evaluate(definition, held.progress);
     const isQuarantined = safeMoves.isActive('quarantine', candidateVersion);
-    const verdict = isQuarantined ? 'quarantine' : this.#limitVerdict(result, candidateVersion);
+    const verdict = isQuarantined ? 'quarantine' : this.#restrictVerdict(result, candidateVersion);
     const next = applyVerdict(definition, held.progress, { ...result, verdict }, Date.now());
     if (next === held.progress) {
       return;
     }
-    const isRaise = verdict === 'advance';
-    const raised = isRaise ? { raisedVersion: candidateVersion } : {};
-    if (await this.#write(name, held, next, raised)) {
-      this.#record(name, candidateVersion, next, result);
+    const isAdvance = verdict === 'advance';
+    const promoted = isAdvance ? { promotedVersion: candidateVersion } : {};
+    if (await this.#write(name, held, next, promoted)) {
+      this.#recordTransition(name, candidateVersion, next, result);
     }
   }
 
-  /** Nothing is raised while the rater is down or the version marked: evidence and marks come first. */
-  #limitVerdict(result: GuardResult, candidateVersion: string): GuardResult['verdict'] {
+  /** Stages are not advanced while the rater is down or the version is withdrawn or quarantined. */
+  #restrictVerdict(result: GuardResult, candidateVersion: string): GuardResult['verdict'] {
     const { safeMoves, isRaterUp } = this.#options;
-    const mayRaise = isRaterUp() && !safeMoves.isVersionBlocked(candidateVersion);
-    return result.verdict === 'advance' && !mayRaise ? 'continue' : result.verdict;
+    const mayAdvance = isRaterUp() && !safeMoves.isVersionBlocked(candidateVersion);
+    return result.verdict === 'advance' && !mayAdvance ? 'continue' : result.verdict;
   }
 
-  /** Returns whether the table took it; a refused write means that another holds the roll-out. */
+  /**
+   * Returns whether the table accepted the write. A refused write means that another daemon has
+   * taken over the roll-out, so the held state is dropped.
+   */
   async #write(
     name: string,
-    held: Held,
+    held: HeldRollout,
     progress: RolloutProgress,
-    raised: { readonly raisedVersion?: string },
+    promoted: { readonly promotedVersion?: string },
   ): Promise<boolean> {
     const { rows, states } = this.#options;
     if (!held.lease.isHeld()) {
       this.#held = undefined;
       return false;
     }
-    const result = await rows.write({ name, progress, version: held.rowVersion, ...raised });
+    const result = await rows.write({ name, progress, version: held.rowVersion, ...promoted });
     if (result.kind === 'refused') {
       this.#held = undefined;
       return false;
@@ -166,10 +171,10 @@
     return true;
   }
 
-  #grant({ definition }: DeclaredRollout): void {
+  #issueGrants({ definition }: DeclaredRollout): void {
     const held = this.#held;
     const { safeMoves, guard, isRaterUp } = this.#options;
-    const isSettled = held !== undefined && Date.now() - held.sinceMs >= SETTLE_MS;
+    const isSettled = held !== undefined && Date.now() - held.sinceMs >= TAKEOVER_SETTLE_MS;
     if (!isSettled || !held.lease.isHeld()) {
       return;
     }
@@ -180,7 +185,12 @@
     }
   }
 
-  #record(name: string, version: string, next: RolloutProgress, result: GuardResult): void {
+  #recordTransition(
+    name: string,
+    version: string,
+    next: RolloutProgress,
+    result: GuardResult,
+  ): void {
     const type = next.phase === 'quarantined' ? 'rolloutHalted' : 'rolloutAdvanced';
     const { phase, stage, fence } = next;
     const detail = { rollout: name, phase, stage, fence, ratings: result.ratingCount };
--- a/packages/rollouts/src/rollout/rolloutReports.ts
+++ b/packages/rollouts/src/rollout/rolloutReports.ts
@@ -1,14 +1,14 @@
-/** Describes roll-outs for operators. */
+/** Builds the reports of roll-outs for operators. */
 import type { SafeMoves } from '@snipehaven/configuration';
 import type { RolloutProgress } from '@snipehaven/policy';
 import type { RolloutReport } from '../types.js';
-import type { GuardWatch } from './guardWatch.js';
+import type { GuardEvaluator } from './guardEvaluator.js';
 import type { DeclaredRollout } from './rolloutCatalogue.js';
 import type { RolloutStates } from './rolloutStates.js';
 
 export interface RolloutReportSources {
   readonly states: RolloutStates;
-  readonly guard: GuardWatch;
+  readonly guard: GuardEvaluator;
   readonly safeMoves: Pick<SafeMoves, 'isActive' | 'list'>;
   readonly isRaterUp: () => boolean;
 }
@@ -32,37 +32,40 @@
   return definition.isPaused ? 'paused' : 'running';
 };
 
-const findMarkReason = (version: string, { safeMoves }: RolloutReportSources): string | undefined =>
+const findSafeMoveReason = (
+  version: string,
+  { safeMoves }: RolloutReportSources,
+): string | undefined =>
   safeMoves
     .list()
     .filter(({ move }) => move.isActive && move.key.endsWith(`/${version}`))
     .map(({ move }) => `${move.key}: ${move.reason}`)[0];
 
 const phaseReasons: Readonly<Record<ReportPhase, string>> = {
-  waiting: 'no holder has taken it up yet',
-  running: 'gathering ratings',
-  paused: 'paused by its operator',
+  waiting: 'not started: no lease holder has picked it up yet',
+  running: 'collecting ratings',
+  paused: 'paused by an operator',
   quarantined: 'the candidate is worse than the stable version',
   finished: 'the candidate serves new sessions',
 };
 
 const getReason = (phase: ReportPhase, version: string, sources: RolloutReportSources): string => {
-  const markReason = findMarkReason(version, sources);
-  if (markReason !== undefined) {
-    return markReason;
+  const safeMoveReason = findSafeMoveReason(version, sources);
+  if (safeMoveReason !== undefined) {
+    return safeMoveReason;
   }
   return phase === 'running' && !sources.isRaterUp()
-    ? 'the rater does not answer: nothing is raised'
+    ? 'the rater is not available: stages are not advanced'
     : phaseReasons[phase];
 };
 
 const describeShadow = ({ definition }: DeclaredRollout, sources: RolloutReportSources): string => {
   const reason = getReason('running', definition.candidateVersion, sources);
   const pairCount = sources.guard.getPairCount(definition);
-  return `in the shadow, no caller gets the candidate; ${pairCount} pairs: ${reason}`;
+  return `shadow phase, callers do not get candidate answers; ${pairCount} pairs rated: ${reason}`;
 };
 
-/** One roll-out as this daemon knows it. */
+/** Describes a roll-out from the state known to this daemon. */
 export const describeRollout = (
   declared: DeclaredRollout,
   sources: RolloutReportSources,
--- a/packages/rollouts/src/rollout/rolloutRows.ts
+++ b/packages/rollouts/src/rollout/rolloutRows.ts
@@ -1,4 +1,4 @@
-/** The state of roll-outs in the platform's table, written only under a lease. */
+/** Stores roll-out state in the table; all writes require the lease. */
 import { LEASE_PREFIX } from '@snipehaven/membership';
 import { type TableClient, type TableCondition, type TableRow } from '@snipehaven/platform';
 import type { RolloutProgress } from '@snipehaven/policy';
@@ -8,35 +8,38 @@
 import { RolloutRowMalformedError } from '../errors.js';
 
 const leaseSchema = z.object({ fence: z.number() });
-const moveSchema = z.object({ isActive: z.boolean() });
+const safeMoveSchema = z.object({ isActive: z.boolean() });
 
 const getRowKey = (name: string): string => `${ROLLOUT_PREFIX}${name}`;
 
-/** The name of the lease under which a roll-out's state is written. */
+/** Name of the lease that protects the state of a roll-out. */
 export const getLeaseName = (name: string): string => `${ROLLOUT_PREFIX}${name}`;
 
 const getLeaseRowKey = (name: string): string => `${LEASE_PREFIX}${getLeaseName(name)}`;
 
-const listMoveKeys = (version: string): readonly string[] =>
+const listSafeMoveKeys = (version: string): readonly string[] =>
   ['withdraw', 'quarantine'].map((kind) => `${SAFE_MOVE_ROW_PREFIX}${kind}/${version}`);
 
-/** What the table holds about a roll-out. */
+/** Stored state of a roll-out. */
 export interface StoredRollout {
   readonly progress: RolloutProgress | undefined;
   readonly version: number;
 }
 
-/** What a write is to hold under. */
+/** A conditional write of roll-out state. */
 export interface RolloutWrite {
   readonly name: string;
   readonly progress: RolloutProgress;
-  /** Version of the row that the write follows. */
+  /** Row version that the write expects. */
   readonly version: number;
-  /** Whether more traffic may come of it: then the version must bear no mark. */
-  readonly raisedVersion?: string;
+  /**
+   * Set if the version may receive more traffic; the write then also requires that it is neither
+   * withdrawn nor quarantined.
+   */
+  readonly promotedVersion?: string;
 }
 
-/** `refused`: another holder, another write or a mark stands against it. */
+/** `refused`: the lease, the row or a safe move of the version has changed. */
 export type RolloutWriteResult =
   { readonly kind: 'written'; readonly version: number } | { readonly kind: 'refused' };
 
@@ -53,18 +56,19 @@
     const [row] = await this.#table.read([getRowKey(name)]);
     return row === undefined
       ? { progress: undefined, version: 0 }
-      : { progress: this.#restore(row), version: row.version };
+      : { progress: this.#parse(row), version: row.version };
   }
 
   /**
-   * Writes the state while the lease's row still bears the fence, the row is as the writer knows it and, for
-   * a raise, no mark is on the version. All are conditions of the one transaction.
+   * Writes the state in one transaction, on condition that the lease row still has the same fence,
+   * the state row is unchanged and, if the version may receive more traffic, it is not withdrawn or
+   * quarantined.
    *
-   * What goes wrong: a holder is frozen between its last look at the lease and its write; it wakes after
-   * the lease went to another and raises a share that the other has halted, or that an operator's
-   * withdrawal has ended. One notices a share that moves under two fences. The conditions make the
-   * table refuse the late write, in whichever order they came. A write whose reply was lost makes the
-   * holder's next one be refused, and it then reads what is there.
+   * Without these conditions, a holder that freezes between checking its lease and writing could
+   * wake up after the lease has moved, and advance a roll-out that the new holder has halted or an
+   * operator has withdrawn. The table refuses such a late write in whichever order the writes
+   * arrive. If the reply to a write is lost, the next write of the holder is refused and it rereads
+   * the stored state.
    */
   async write(write: RolloutWrite): Promise<RolloutWriteResult> {
     const conditions = await this.#findConditions(write);
@@ -81,24 +85,25 @@
 
   async #findConditions(write: RolloutWrite): Promise<readonly TableCondition[] | undefined> {
     const leaseKey = getLeaseRowKey(write.name);
-    const moveKeys = write.raisedVersion === undefined ? [] : listMoveKeys(write.raisedVersion);
-    const rows = await this.#table.read([leaseKey, ...moveKeys]);
+    const safeMoveKeys =
+      write.promotedVersion === undefined ? [] : listSafeMoveKeys(write.promotedVersion);
+    const rows = await this.#table.read([leaseKey, ...safeMoveKeys]);
     const byKey = new Map(rows.map((row) => [row.key, row]));
     const lease = leaseSchema.safeParse(byKey.get(leaseKey)?.value);
-    const isMarked = moveKeys.some(
-      (key) => moveSchema.safeParse(byKey.get(key)?.value).data?.isActive === true,
+    const isRestricted = safeMoveKeys.some(
+      (key) => safeMoveSchema.safeParse(byKey.get(key)?.value).data?.isActive === true,
     );
-    if (lease.data?.fence !== write.progress.fence || isMarked) {
+    if (lease.data?.fence !== write.progress.fence || isRestricted) {
       return undefined;
     }
-    const unchanged = [leaseKey, ...moveKeys].map((key) => ({
+    const unchanged = [leaseKey, ...safeMoveKeys].map((key) => ({
       key,
       version: byKey.get(key)?.version ?? 0,
     }));
     return [{ key: getRowKey(write.name), version: write.version }, ...unchanged];
   }
 
-  #restore(row: TableRow): RolloutProgress {
+  #parse(row: TableRow): RolloutProgress {
     const result = rolloutProgressSchema.safeParse(row.value);
     if (!result.success) {
       throw new RolloutRowMalformedError(row.key, { cause: result.error });
--- a/packages/rollouts/src/rollout/rolloutRunner.ts
+++ b/packages/rollouts/src/rollout/rolloutRunner.ts
@@ -1,6 +1,6 @@
 /**
- * Runs the declared roll-outs. Every daemon watches the guard over its own evidence and may quarantine at
- * once; one holder, under a lease, raises stages and plans grants.
+ * Runs the declared roll-outs. Every daemon evaluates the guard on its own evidence and may
+ * quarantine immediately; the daemon that holds the lease advances stages and plans grants.
  */
 import {
   getErrorMessage,
@@ -18,9 +18,9 @@
 import { RUNNER_TICK_MS } from '../constants.js';
 import type { RolloutReport } from '../types.js';
 import type { ExposureLedger } from './exposureLedger.js';
-import type { GuardWatch } from './guardWatch.js';
+import type { GuardEvaluator } from './guardEvaluator.js';
 import type { DeclaredRollout, RolloutCatalogue } from './rolloutCatalogue.js';
-import { RolloutHolder } from './rolloutHolder.js';
+import { RolloutLeaseHolder } from './rolloutLeaseHolder.js';
 import { describeRollout } from './rolloutReports.js';
 import { getLeaseName, RolloutRows } from './rolloutRows.js';
 import type { RolloutStates } from './rolloutStates.js';
@@ -33,7 +33,7 @@
   readonly catalogue: RolloutCatalogue;
   readonly states: RolloutStates;
   readonly ledger: ExposureLedger;
-  readonly guard: GuardWatch;
+  readonly guard: GuardEvaluator;
   readonly isRaterUp: () => boolean;
   readonly actorSystem: ActorSystem;
   readonly timeline: TimelineRecorder;
@@ -45,22 +45,22 @@
   readonly type: 'step';
 }
 
-/** Phases in which the guard's verdict is still to come. */
-const openPhases: ReadonlySet<RolloutPhase> = new Set(['shadow', 'running']);
+/** Phases in which the guard may still quarantine the candidate. */
+const undecidedPhases: ReadonlySet<RolloutPhase> = new Set(['shadow', 'running']);
 
 export class RolloutRunner {
   readonly #options: RolloutRunnerOptions;
 
   readonly #rows: RolloutRows;
 
-  /** By name of the roll-out. */
-  readonly #holders = new Map<string, RolloutHolder>();
+  /** Keyed by roll-out name. */
+  readonly #holders = new Map<string, RolloutLeaseHolder>();
 
   #actor: HandlerActor<RunnerMessage> | undefined;
 
   #timer: NodeJS.Timeout | undefined;
 
-  /** A step that waits for a slow table must not let further ones pile up. */
+  /** Prevents steps from piling up while one waits for a slow table. */
   #isStepping = false;
 
   readonly #quarantining = new Set<string>();
@@ -81,22 +81,22 @@
     this.#timer = setInterval(() => this.#tick(), RUNNER_TICK_MS);
   }
 
-  /** Stops, and gives up the leases so that others can go on at once. */
+  /** Stops and releases the leases, so that other daemons can take over immediately. */
   async stop(): Promise<void> {
     this.kill();
-    await Promise.all([...this.#holders.values()].map((holder) => holder.leave()));
+    await Promise.all([...this.#holders.values()].map((holder) => holder.releaseLease()));
     this.#holders.clear();
   }
 
-  /** Stops as a killed process would. */
+  /** Stops without releasing leases, like a killed process. */
   kill(): void {
     clearInterval(this.#timer);
     this.#timer = undefined;
     this.#actor?.stop();
   }
 
-  /** Names of the roll-outs that this daemon drives. */
-  listHeld(): readonly string[] {
+  /** Names of the roll-outs whose lease this daemon holds. */
+  listHeldRollouts(): readonly string[] {
     return [...this.#holders].filter(([, holder]) => holder.isHolding()).map(([name]) => name);
   }
 
@@ -109,10 +109,10 @@
   #tick(): void {
     const { catalogue, states } = this.#options;
     const declared = catalogue.list();
-    states.keepOnly(new Set(declared.map(({ definition }) => definition.rolloutId)));
+    states.retainOnly(new Set(declared.map(({ definition }) => definition.rolloutId)));
     declared.forEach((rollout) => {
-      this.#report(rollout);
-      this.#watch(rollout);
+      this.#reportExposure(rollout);
+      this.#checkGuard(rollout);
     });
     if (!this.#isStepping) {
       this.#isStepping = true;
@@ -120,8 +120,8 @@
     }
   }
 
-  /** Tells the holder what this daemon was granted and has exposed. */
-  #report({ definition }: DeclaredRollout): void {
+  /** Reports this daemon's grant and exposure to the lease holder, through gossip. */
+  #reportExposure({ definition }: DeclaredRollout): void {
     const { states, ledger, membership } = this.#options;
     const { rolloutId } = definition;
     const { incarnation } = membership.self;
@@ -133,14 +133,16 @@
     }
   }
 
-  /** A quarantine is a safe move: whoever has the evidence makes it, without the lease. */
-  #watch({ name, definition }: DeclaredRollout): void {
+  /**
+   * Quarantining is a safe move, so any daemon with sufficient evidence does it without the lease.
+   */
+  #checkGuard({ name, definition }: DeclaredRollout): void {
     const { states, guard, safeMoves } = this.#options;
     const { candidateVersion, rolloutId } = definition;
     const progress = states.getProgress(rolloutId);
     if (
       progress === undefined ||
-      !openPhases.has(progress.phase) ||
+      !undecidedPhases.has(progress.phase) ||
       safeMoves.isActive('quarantine', candidateVersion)
     ) {
       return;
@@ -160,7 +162,10 @@
     try {
       await safeMoves.activate('quarantine', version, reason, membership.self.incarnation);
     } catch (error) {
-      logger.error({ version, error: getErrorMessage(error) }, 'quarantine failed');
+      logger.error(
+        { version, error: getErrorMessage(error) },
+        'could not quarantine the candidate',
+      );
     } finally {
       this.#quarantining.delete(version);
     }
@@ -169,7 +174,7 @@
   async #stepAll(): Promise<void> {
     try {
       const declared = this.#options.catalogue.list();
-      await this.#leaveUndeclared(declared);
+      await this.#releaseUndeclared(declared);
       await Promise.all(declared.map((rollout) => this.#step(rollout)));
     } finally {
       this.#isStepping = false;
@@ -179,18 +184,18 @@
   async #step(rollout: DeclaredRollout): Promise<void> {
     const holder = this.#getHolder(rollout.name);
     try {
-      if (this.#mayHold(rollout.name)) {
+      if (this.#shouldHoldLease(rollout.name)) {
         await holder.step(rollout);
       } else {
-        await holder.leave();
+        await holder.releaseLease();
       }
     } catch (error) {
       this.#logFailure(rollout.name, error);
     }
   }
 
-  /** Only one daemon of one data centre tries for the lease, to spare the table. */
-  #mayHold(name: string): boolean {
+  /** Only one daemon of one data centre requests the lease, to limit the load on the table. */
+  #shouldHoldLease(name: string): boolean {
     const { membership } = this.#options;
     const duty = getLeaseName(name);
     const dataCentres = [...new Set(membership.listAlive().map(({ dataCentre }) => dataCentre))];
@@ -198,23 +203,23 @@
     return chosen === membership.self.dataCentre && membership.ownsDuty(duty);
   }
 
-  async #leaveUndeclared(declared: readonly DeclaredRollout[]): Promise<void> {
+  async #releaseUndeclared(declared: readonly DeclaredRollout[]): Promise<void> {
     const names = new Set(declared.map(({ name }) => name));
     const gone = [...this.#holders].filter(([name]) => !names.has(name));
     await Promise.all(
       gone.map(async ([name, holder]) => {
         this.#holders.delete(name);
-        await holder.leave();
+        await holder.releaseLease();
       }),
     );
   }
 
-  #getHolder(name: string): RolloutHolder {
+  #getHolder(name: string): RolloutLeaseHolder {
     const present = this.#holders.get(name);
     if (present !== undefined) {
       return present;
     }
-    const created = new RolloutHolder({ ...this.#options, rows: this.#rows });
+    const created = new RolloutLeaseHolder({ ...this.#options, rows: this.#rows });
     this.#holders.set(name, created);
     return created;
   }
@@ -222,6 +227,9 @@
   #logFailure(name: string, error: unknown): void {
     const level = isPlatformError(error) ? 'debug' : 'error';
     const detail = { rollout: name, error: getErrorMessage(error) };
-    this.#options.logger[level](detail, 'roll-out rests');
+    this.#options.logger[level](
+      detail,
+      'could not advance the roll-out; retrying at the next step',
+    );
   }
 }
--- a/packages/rollouts/src/rollout/rolloutStates.ts
+++ b/packages/rollouts/src/rollout/rolloutStates.ts
@@ -1,4 +1,4 @@
-/** What a daemon knows of the roll-outs under way, joined from everyone. */
+/** Replicated roll-out state of a daemon, merged from all peers. */
 import { asId, type IncarnationId } from '@snipehaven/common';
 import {
   foldPairShares,
@@ -9,30 +9,30 @@
   type PairShare,
   type RolloutProgress,
 } from '@snipehaven/policy';
-import { GRANT_LIFETIME_MS, PAIR_NEWS_GROWTH } from '../constants.js';
+import { GRANT_LIFETIME_MS, PAIR_ANNOUNCEMENT_GROWTH } from '../constants.js';
 import type { ExposureMessage, GrantMessage } from './types.js';
 
 export type StateKind = 'progress' | 'grant' | 'exposure' | 'pairs';
 
-/** Told of each item that changed. */
+/** Called with every item that changed. */
 export type StateListener = (kind: StateKind, rolloutId: string, incarnation: string) => void;
 
-interface State {
+interface RolloutState {
   progress?: RolloutProgress | undefined;
   readonly grants: Map<string, GrantMessage>;
-  /** When the latest plan with a grant for the incarnation was heard of. */
-  readonly grantedAtMs: Map<string, number>;
+  /** Time at which the latest changed grant of each incarnation was received. */
+  readonly grantReceivedAtMs: Map<string, number>;
   readonly exposures: Map<string, ExposureMessage>;
-  /** Pairs counted, by source. */
+  /** Rated pairs by source. */
   readonly pairs: Map<string, PairShare>;
-  /** Pairs of each source when they were last in the news. */
-  readonly toldPairs: Map<string, number>;
+  /** Pair count of each source at its last announcement. */
+  readonly announcedPairCounts: Map<string, number>;
 }
 
-const isSame = <Item extends object>(a: Item | undefined, b: Item): boolean =>
+const isShallowEqual = <Item extends object>(a: Item | undefined, b: Item): boolean =>
   a !== undefined && (Object.keys(b) as (keyof Item)[]).every((field) => a[field] === b[field]);
 
-/** The share of the later plan counts; totals only grow. */
+/** Takes the share of the later plan and the maximum of the counts, which only grow. */
 const joinGrants = (a: GrantMessage, b: GrantMessage): GrantMessage => {
   const later = a.fence - b.fence || a.plan - b.plan || a.sharePct - b.sharePct;
   const newer = later >= 0 ? a : b;
@@ -46,16 +46,17 @@
   judgedCount: Math.max(a.judgedCount, b.judgedCount),
 });
 
-const DATA_CENTRE_MARK = '@';
+const DATA_CENTRE_PREFIX = '@';
 
-/** The source under which a data centre tells the others of its daemons' pairs. */
+/** Source name of the aggregated pairs that a data centre sends to the others. */
 export const getDataCentreSource = (dataCentre: string): string =>
-  `${DATA_CENTRE_MARK}${dataCentre}`;
+  `${DATA_CENTRE_PREFIX}${dataCentre}`;
 
-export const isDataCentreSource = (source: string): boolean => source.startsWith(DATA_CENTRE_MARK);
+export const isDataCentreSource = (source: string): boolean =>
+  source.startsWith(DATA_CENTRE_PREFIX);
 
 export class RolloutStates {
-  readonly #states = new Map<string, State>();
+  readonly #states = new Map<string, RolloutState>();
 
   readonly #listeners = new Set<StateListener>();
 
@@ -68,18 +69,17 @@
   }
 
   /**
-   * The grant of one life of a daemon, unless it has lapsed.
+   * Returns the grant of a daemon incarnation unless it has expired.
    *
-   * What goes wrong: a data centre is cut off with grants in hand; the holder takes its daemons for dead,
-   * in the end grants their part to others, and more answers are out than the budget allows. One
-   * notices it by exposures that jump up when the cut heals. Grants that no plan renews therefore lapse
-   * well before the holder counts on it.
+   * If a data centre is partitioned while it holds grants, the lease holder considers its daemons
+   * dead and eventually grants their part to others, so that the exposure could exceed the budget.
+   * Grants that no plan renews therefore expire well before the holder reassigns them.
    */
   getGrant(rolloutId: string, incarnation: string): ExposureGrant | undefined {
     const state = this.#states.get(rolloutId);
     const grant = state?.grants.get(incarnation);
-    const heardAtMs = state?.grantedAtMs.get(incarnation) ?? -Infinity;
-    const isLapsed = Date.now() - heardAtMs > GRANT_LIFETIME_MS;
+    const receivedAtMs = state?.grantReceivedAtMs.get(incarnation) ?? -Infinity;
+    const isLapsed = Date.now() - receivedAtMs > GRANT_LIFETIME_MS;
     return grant === undefined || isLapsed
       ? undefined
       : { ...grant, incarnation: asId<IncarnationId>(grant.incarnation) };
@@ -110,15 +110,15 @@
   }
 
   /**
-   * The pairs of this data centre's daemons as one share, for the others. Each daemon's sum is a lower bound,
-   * so that sums of several daemons join by the maximum.
+   * Aggregates the pairs of this data centre for the others. Counts of each daemon are lower
+   * bounds, so aggregates computed by different daemons can be merged by taking the maximum.
    */
   getLocalPairs(rolloutId: string, source: string): PairShare {
     const local = this.listPairs(rolloutId).filter((share) => !isDataCentreSource(share.source));
     return { source, counts: foldPairShares(local) };
   }
 
-  /** The pairs of all sources. */
+  /** Pair counts summed over all sources. */
   getPairCounts(rolloutId: string): readonly number[] {
     return foldPairShares(this.listPairs(rolloutId));
   }
@@ -130,18 +130,18 @@
   mergeProgress(progress: RolloutProgress): void {
     const state = this.#getState(progress.rolloutId);
     const joined = state.progress ? joinProgress(state.progress, progress) : progress;
-    if (!isSame(state.progress, joined)) {
+    if (!isShallowEqual(state.progress, joined)) {
       state.progress = joined;
       this.#notify('progress', progress.rolloutId, '');
     }
   }
 
   mergeGrant(grant: GrantMessage): void {
-    const { grants, grantedAtMs } = this.#getState(grant.rolloutId);
+    const { grants, grantReceivedAtMs } = this.#getState(grant.rolloutId);
     const present = grants.get(grant.incarnation);
     const joined = present ? joinGrants(present, grant) : grant;
-    if (!isSame(present, joined)) {
-      grantedAtMs.set(grant.incarnation, Date.now());
+    if (!isShallowEqual(present, joined)) {
+      grantReceivedAtMs.set(grant.incarnation, Date.now());
       grants.set(grant.incarnation, joined);
       this.#notify('grant', grant.rolloutId, grant.incarnation);
     }
@@ -151,44 +151,47 @@
     const { exposures } = this.#getState(exposure.rolloutId);
     const present = exposures.get(exposure.incarnation);
     const joined = present ? joinExposures(present, exposure) : exposure;
-    if (!isSame(present, joined)) {
+    if (!isShallowEqual(present, joined)) {
       exposures.set(exposure.incarnation, joined);
       this.#notify('exposure', exposure.rolloutId, exposure.incarnation);
     }
   }
 
-  /** Counts only grow, so news of them may wait until it is worth a message. */
+  /**
+   * Merges pair counts. They only grow, so an announcement may wait until the increase is worth a
+   * message.
+   */
   mergePairs(rolloutId: string, share: PairShare): void {
-    const { pairs, toldPairs } = this.#getState(rolloutId);
+    const { pairs, announcedPairCounts } = this.#getState(rolloutId);
     const present = pairs.get(share.source);
     const [joined = share] = mergePairShares(present ? [present] : [], [share]);
     pairs.set(share.source, joined);
     const total = sumBins(joined.counts);
-    const told = toldPairs.get(share.source) ?? 0;
-    if (total > told && total - told >= told * PAIR_NEWS_GROWTH) {
-      toldPairs.set(share.source, total);
+    const announced = announcedPairCounts.get(share.source) ?? 0;
+    if (total > announced && total - announced >= announced * PAIR_ANNOUNCEMENT_GROWTH) {
+      announcedPairCounts.set(share.source, total);
       this.#notify('pairs', rolloutId, share.source);
     }
   }
 
-  /** Forgets roll-outs that are declared no more. */
-  keepOnly(rolloutIds: ReadonlySet<string>): void {
+  /** Removes roll-outs that are no longer declared. */
+  retainOnly(rolloutIds: ReadonlySet<string>): void {
     this.listRolloutIds()
       .filter((rolloutId) => !rolloutIds.has(rolloutId))
       .forEach((rolloutId) => this.#states.delete(rolloutId));
   }
 
-  #getState(rolloutId: string): State {
+  #getState(rolloutId: string): RolloutState {
     const present = this.#states.get(rolloutId);
     if (present !== undefined) {
       return present;
     }
-    const created: State = {
+    const created: RolloutState = {
       grants: new Map(),
-      grantedAtMs: new Map(),
+      grantReceivedAtMs: new Map(),
       exposures: new Map(),
       pairs: new Map(),
-      toldPairs: new Map(),
+      announcedPairCounts: new Map(),
     };
     this.#states.set(rolloutId, created);
     return created;
--- a/packages/rollouts/src/rollout/rolloutTopic.ts
+++ b/packages/rollouts/src/rollout/rolloutTopic.ts
@@ -1,9 +1,9 @@
-/** Spreads the state of roll-outs along with membership's exchanges. */
+/** Gossips roll-out state in the exchanges of the membership protocol. */
 import type { GossipTopic, MembershipView } from '@snipehaven/membership';
 import type { PairShare } from '@snipehaven/policy';
 import { rolloutGossipSchema, type Member, type RolloutGossip } from '@snipehaven/protocol';
-import { LOCAL_ROLLOUT_BYTES, REMOTE_ROLLOUT_BYTES, SWEEP_BYTES } from '../constants.js';
-import { NewsQueues } from '../gossip/newsQueues.js';
+import { LOCAL_ROLLOUT_BYTES, REMOTE_ROLLOUT_BYTES, ANTI_ENTROPY_BYTES } from '../constants.js';
+import { GossipQueues } from '../gossip/gossipQueues.js';
 import { PayloadBudget } from '../gossip/payloadBudget.js';
 import {
   decodeExposure,
@@ -20,14 +20,14 @@
   type StateKind,
 } from './rolloutStates.js';
 
-/** The lists of a message that is being filled. */
-type MutableGossip = {
+/** A gossip message under construction. */
+type GossipDraft = {
   readonly [Part in keyof RolloutGossip]-?: NonNullable<RolloutGossip[Part]>;
 };
 
 const SEPARATOR = '\n';
 
-const joinKey = (kind: StateKind, rolloutId: string, source: string): string =>
+const formatKey = (kind: StateKind, rolloutId: string, source: string): string =>
   [kind, rolloutId, source].join(SEPARATOR);
 
 const mapDefined = <Item, Result>(
@@ -35,11 +35,11 @@
   map: (item: Item) => Result,
 ): Result | undefined => (item === undefined ? undefined : map(item));
 
-const put = <Item>(items: Item[], item: Item | undefined, budget: PayloadBudget): boolean => {
+const tryPush = <Item>(items: Item[], item: Item | undefined, budget: PayloadBudget): boolean => {
   if (item === undefined || items.includes(item)) {
     return true;
   }
-  if (!budget.take(item)) {
+  if (!budget.tryConsume(item)) {
     return false;
   }
   items.push(item);
@@ -49,7 +49,7 @@
 export interface RolloutTopicOptions {
   readonly states: RolloutStates;
   readonly membership: MembershipView;
-  /** Roll-outs that are declared; what is said of others is passed over. */
+  /** Whether the roll-out is declared; state of other roll-outs is ignored. */
   readonly isDeclared: (rolloutId: string) => boolean;
 }
 
@@ -58,27 +58,29 @@
 
   readonly #options: RolloutTopicOptions;
 
-  readonly #news: NewsQueues;
+  readonly #queues: GossipQueues;
 
-  /** Under which this data centre's pairs go to the others. */
-  readonly #ownSource: string;
+  /** Source name under which the pairs of this data centre are sent to the others. */
+  readonly #localSource: string;
 
-  #sweepAt = 0;
+  #antiEntropyCursor = 0;
 
   constructor(options: RolloutTopicOptions) {
     this.#options = options;
-    this.#news = new NewsQueues(options.membership);
-    this.#ownSource = getDataCentreSource(options.membership.self.dataCentre);
-    options.states.onChange((kind, rolloutId, source) => this.#noteNews(kind, rolloutId, source));
+    this.#queues = new GossipQueues(options.membership);
+    this.#localSource = getDataCentreSource(options.membership.self.dataCentre);
+    options.states.onChange((kind, rolloutId, source) =>
+      this.#enqueueUpdate(kind, rolloutId, source),
+    );
   }
 
   getPayload(peer: Member): RolloutGossip | undefined {
-    const gossip: MutableGossip = { progress: [], grants: [], exposures: [], pairs: [] };
-    const isLocal = this.#news.isLocal(peer);
+    const gossip: GossipDraft = { progress: [], grants: [], exposures: [], pairs: [] };
+    const isLocal = this.#queues.isLocal(peer);
     const budget = new PayloadBudget(isLocal ? LOCAL_ROLLOUT_BYTES : REMOTE_ROLLOUT_BYTES);
-    this.#news.take(peer, (key) => this.#add(key, gossip, budget));
-    if (this.#news.isSweepDue()) {
-      this.#sweep(gossip, isLocal);
+    this.#queues.collect(peer, (key) => this.#tryAdd(key, gossip, budget));
+    if (this.#queues.isAntiEntropyDue()) {
+      this.#addAntiEntropyItems(gossip, isLocal);
     }
     const filled = Object.entries(gossip).filter(([, items]) => items.length > 0);
     return filled.length === 0 ? undefined : Object.fromEntries(filled);
@@ -101,31 +103,36 @@
       .forEach((exposure) => states.mergeExposure(exposure));
     pairs
       .map(decodePairs)
-      .filter((told) => isKnown(told) && told.share.source !== this.#ownSource)
+      .filter((received) => isKnown(received) && received.share.source !== this.#localSource)
       .forEach(({ rolloutId, share }) => states.mergePairs(rolloutId, share));
   }
 
-  /** Whoever missed the news, or has just started, learns it from what goes round again and again. */
-  #sweep(gossip: MutableGossip, isLocal: boolean): void {
+  /**
+   * Cycles through all items, so that peers that missed an update or have just started receive it.
+   */
+  #addAntiEntropyItems(gossip: GossipDraft, isLocal: boolean): void {
     const keys = this.#listKeys(isLocal);
-    const budget = new PayloadBudget(SWEEP_BYTES);
+    const budget = new PayloadBudget(ANTI_ENTROPY_BYTES);
     for (let steps = 0; steps < keys.length; steps += 1) {
-      const key = keys[this.#sweepAt % keys.length] ?? '';
-      if (!this.#add(key, gossip, budget)) {
+      const key = keys[this.#antiEntropyCursor % keys.length] ?? '';
+      if (!this.#tryAdd(key, gossip, budget)) {
         return;
       }
-      this.#sweepAt += 1;
+      this.#antiEntropyCursor += 1;
     }
   }
 
-  /** Pairs of single daemons stay in the data centre; the others hear of their sum. */
-  #noteNews(kind: StateKind, rolloutId: string, source: string): void {
-    const key = joinKey(kind, rolloutId, source);
-    this.#news.pushLocal(key);
+  /**
+   * Pairs of single daemons are sent within the data centre only; other data centres receive the
+   * aggregate.
+   */
+  #enqueueUpdate(kind: StateKind, rolloutId: string, source: string): void {
+    const key = formatKey(kind, rolloutId, source);
+    this.#queues.pushLocal(key);
     if (kind !== 'pairs') {
-      this.#news.pushRemote(key);
+      this.#queues.pushRemote(key);
     } else if (!isDataCentreSource(source)) {
-      this.#news.pushRemote(joinKey(kind, rolloutId, this.#ownSource));
+      this.#queues.pushRemote(formatKey(kind, rolloutId, this.#localSource));
     }
   }
 
@@ -135,7 +142,7 @@
     if (isLocal) {
       return sources;
     }
-    return hasLocal ? [this.#ownSource] : [];
+    return hasLocal ? [this.#localSource] : [];
   }
 
   #listKeys(isLocal: boolean): readonly string[] {
@@ -143,28 +150,28 @@
     return states
       .listRolloutIds()
       .flatMap((rolloutId) => [
-        joinKey('progress', rolloutId, ''),
+        formatKey('progress', rolloutId, ''),
         ...states
           .listGrants(rolloutId)
-          .map((grant) => joinKey('grant', rolloutId, grant.incarnation)),
+          .map((grant) => formatKey('grant', rolloutId, grant.incarnation)),
         ...states
           .listExposures(rolloutId)
-          .map((exposure) => joinKey('exposure', rolloutId, exposure.incarnation)),
+          .map((exposure) => formatKey('exposure', rolloutId, exposure.incarnation)),
         ...this.#listPairSources(rolloutId, isLocal).map((source) =>
-          joinKey('pairs', rolloutId, source),
+          formatKey('pairs', rolloutId, source),
         ),
       ]);
   }
 
   #findPairs(rolloutId: string, source: string): PairShare | undefined {
     const { states } = this.#options;
-    return source === this.#ownSource
+    return source === this.#localSource
       ? states.getLocalPairs(rolloutId, source)
       : states.getPairs(rolloutId, source);
   }
 
-  /** False where the item has no room; an item that is gone needs none. */
-  #add(key: string, gossip: MutableGossip, budget: PayloadBudget): boolean {
+  /** Returns false if the item does not fit; an item that no longer exists needs no space. */
+  #tryAdd(key: string, gossip: GossipDraft, budget: PayloadBudget): boolean {
     const [kind, rolloutId = '', incarnation = ''] = key.split(SEPARATOR);
     return this.#adders[kind as StateKind](rolloutId, incarnation, gossip, budget);
   }
@@ -175,27 +182,27 @@
       (
         rolloutId: string,
         incarnation: string,
-        gossip: MutableGossip,
+        gossip: GossipDraft,
         budget: PayloadBudget,
       ) => boolean
     >
   > = {
     progress: (rolloutId, _incarnation, gossip, budget) =>
-      put(gossip.progress, this.#options.states.getProgress(rolloutId), budget),
+      tryPush(gossip.progress, this.#options.states.getProgress(rolloutId), budget),
     grant: (rolloutId, incarnation, gossip, budget) =>
-      put(
+      tryPush(
         gossip.grants,
         mapDefined(this.#options.states.getGrantMessage(rolloutId, incarnation), encodeGrant),
         budget,
       ),
     exposure: (rolloutId, incarnation, gossip, budget) =>
-      put(
+      tryPush(
         gossip.exposures,
         mapDefined(this.#options.states.getExposure(rolloutId, incarnation), encodeExposure),
         budget,
       ),
     pairs: (rolloutId, source, gossip, budget) =>
-      put(
+      tryPush(
         gossip.pairs,
         mapDefined(this.#findPairs(rolloutId, source), (share) =>
           encodePairs({ rolloutId, share }),
--- a/packages/rollouts/src/rollout/types.ts
+++ b/packages/rollouts/src/rollout/types.ts
@@ -1,13 +1,16 @@
-/** What daemons tell each other about roll-outs. */
+/** Roll-out state exchanged between daemons. */
 import type { ExposureGrant } from '@snipehaven/policy';
 
-/** What a daemon may expose; the higher fence and then the higher plan number count. */
+/**
+ * Exposure grant of one daemon. The one with the higher fence is valid, then the one with the
+ * higher plan number.
+ */
 export interface GrantMessage extends Omit<ExposureGrant, 'incarnation'> {
   readonly incarnation: string;
   readonly plan: number;
 }
 
-/** What a daemon has exposed; totals that only grow. */
+/** Exposure report of one daemon; the counts are monotonic totals. */
 export interface ExposureMessage {
   readonly rolloutId: string;
   readonly incarnation: string;
--- a/packages/rollouts/src/rolloutSystem.test.ts
+++ b/packages/rollouts/src/rolloutSystem.test.ts
@@ -14,12 +14,12 @@
 } from './testing/testCluster.js';
 import { Traffic } from './testing/traffic.js';
 
-/** The stages alone, as after a shadow that has shown nothing. */
+/** Without the shadow phase, to test the stages alone. */
 const withCluster = createClusterTest(install, { ...rolloutSettings, shadowSharePct: 0 });
 const withShadow = createClusterTest(install);
 
 const DATA_CENTRES = ['x', 'y', 'z'];
-/** Answers of a grossly bad candidate that callers may get, over all daemons. */
+/** Limit on released answers of a grossly bad candidate, over all daemons. */
 const MAX_EXPOSED = 30;
 const FIVE_MINUTES_MS = 300_000;
 const easyStages = [1, 10, 100].map((sharePct) => ({ sharePct, minRatings: 10 }));
@@ -46,8 +46,13 @@
 const getHighestStage = ({ daemons }: TestCluster): number =>
   Math.max(...daemons.map((daemon) => getReport(daemon).stage));
 
-/** Counts so many ratings at a daemon, as if it had asked for them. */
-const rate = ({ system }: TestDaemon, version: string, score: number, count: number): void => {
+/** Records `count` rated answers at a daemon. */
+const recordRatings = (
+  { system }: TestDaemon,
+  version: string,
+  score: number,
+  count: number,
+): void => {
   const subject = { team: 'a', task: 't', version: asId<VersionId>(version), isEscalated: false };
   const ending = { end: 'complete', firstTokenMs: 1, totalMs: 1 } as const;
   for (let index = 0; index < count; index += 1) {
@@ -56,17 +61,17 @@
   }
 };
 
-/** Makes the evidence for an advance, as good as can be. */
-const proveCandidate = (daemon: TestDaemon): void => {
-  rate(daemon, STABLE, 0.7, 200);
-  rate(daemon, CANDIDATE, 0.95, 60);
+/** Records clearly sufficient evidence for an advance. */
+const recordGoodRatings = (daemon: TestDaemon): void => {
+  recordRatings(daemon, STABLE, 0.7, 200);
+  recordRatings(daemon, CANDIDATE, 0.95, 60);
 };
 
-const startHeld = async (cluster: TestCluster, count = 9): Promise<TestDaemon> => {
+const startWithLeaseHolder = async (cluster: TestCluster, count = 9): Promise<TestDaemon> => {
   cluster.declare({ stages: easyStages });
   cluster.addDaemons(count, DATA_CENTRES);
-  assert.ok(await cluster.advanceUntil(() => cluster.findHolder() !== undefined, 20_000));
-  return cluster.findHolder() as TestDaemon;
+  assert.ok(await cluster.advanceUntil(() => cluster.findLeaseHolder() !== undefined, 20_000));
+  return cluster.findLeaseHolder() as TestDaemon;
 };
 
 const assign = ({ system }: TestDaemon): string | undefined =>
@@ -77,8 +82,8 @@
     isSession: false,
   })?.version;
 
-/** Whether the candidate can still be drawn. */
-const isGranted = (daemon: TestDaemon): boolean =>
+/** Whether the assigner can still assign the candidate. */
+const canAssignCandidate = (daemon: TestDaemon): boolean =>
   Array.from({ length: 200 }, () => assign(daemon)).includes(CANDIDATE);
 
 const writesRollout = (transactions: readonly TableTransaction[]): boolean =>
@@ -87,19 +92,19 @@
 [9, 57].forEach((count) => {
   [true, false].forEach((allowsCascade) => {
     test(
-      `bad candidate, ${count} daemons, ${allowsCascade ? 'rated before release' : 'released unrated'}`,
+      `quarantines a bad candidate, ${count} daemons, ${allowsCascade ? 'rated before release' : 'released unrated'}`,
       withCluster(async (cluster) => {
-        // Symptom: callers of every data centre get bad answers for minutes.
-        // Sequence: a candidate whose answers all rate near nothing gets its first share.
-        // Cause: each daemon would expose a few before the first rating is back.
+        // Guards against callers of every data centre receiving bad answers for minutes. In the
+        // first stage, each daemon could expose several answers of a bad candidate before its first
+        // rating arrives.
         cluster.addDaemons(count, DATA_CENTRES);
-        cluster.rater.scoreBy(({ version }) => (version === CANDIDATE ? 0.02 : 0.9));
+        cluster.rater.setScoring(({ version }) => (version === CANDIDATE ? 0.02 : 0.9));
         const traffic = startTraffic(cluster, { allowsCascade });
         const isBlocked = (): boolean => isBlockedEverywhere(cluster);
         assert.ok(await cluster.advanceUntil(isBlocked, FIVE_MINUTES_MS));
-        const atQuarantine = traffic.candidateAnswers;
+        const answersAtQuarantine = traffic.candidateAnswers;
         await cluster.advance(20_000);
-        assert.is(traffic.candidateAnswers, atQuarantine);
+        assert.is(traffic.candidateAnswers, answersAtQuarantine);
         assert.ok(traffic.candidateAnswers <= MAX_EXPOSED, `${traffic.candidateAnswers} exposed`);
         assert.ok(!allowsCascade || traffic.candidateReleased === 0);
         assert.is(getReport(getDaemon(cluster)).phase, 'quarantined');
@@ -109,11 +114,10 @@
 });
 
 test(
-  'a candidate that fails is quarantined while the rater is down',
+  'quarantines a failing candidate while the rater is down',
   withCluster(async (cluster) => {
-    // Symptom: errors of a new version go on for as long as the rater is away.
-    // Sequence: the rater goes down, then the candidate ends each answer in an error.
-    // Cause: a guard that looks at ratings alone.
+    // Guards against a failing candidate that stays in use while the rater is down, because a guard
+    // based on ratings alone never sees its errors.
     cluster.addDaemons(9, DATA_CENTRES);
     startTraffic(cluster);
     await cluster.advance(30_000);
@@ -127,7 +131,7 @@
 );
 
 test(
-  'a good candidate is raised to the last stage and takes the place of the stable version',
+  'advances a good candidate to the last stage, where it replaces the stable version',
   withCluster(async (cluster) => {
     cluster.declare({ stages: easyStages, maxFailureIncreasePct: 30 });
     cluster.addDaemons(9, DATA_CENTRES);
@@ -147,34 +151,31 @@
 );
 
 test(
-  'a killed holder is followed by one that goes on at its stage',
+  'a new lease holder resumes at the stage of a killed one',
   withCluster(async (cluster) => {
-    // Symptom: a roll-out stops halfway for good, or starts over.
-    // Sequence: the holder raises a stage and is killed; its lease lapses.
-    // Cause: what the holder knew died with it.
-    const holder = await startHeld(cluster);
-    proveCandidate(holder);
+    // Guards against a roll-out that stalls or restarts after its lease holder is killed with the
+    // state in its memory.
+    const holder = await startWithLeaseHolder(cluster);
+    recordGoodRatings(holder);
     await cluster.advanceUntil(() => getHighestStage(cluster) === 1, 20_000);
     assert.is(getHighestStage(cluster), 1);
     cluster.kill(holder);
-    assert.ok(await cluster.advanceUntil(() => cluster.findHolder() !== undefined, 60_000));
-    const next = cluster.findHolder() as TestDaemon;
+    assert.ok(await cluster.advanceUntil(() => cluster.findLeaseHolder() !== undefined, 60_000));
+    const next = cluster.findLeaseHolder() as TestDaemon;
     assert.is(getReport(next).stage, 1);
     assert.equal(next.timeline.list({ types: ['rolloutAdvanced'] }), []);
-    proveCandidate(next);
-    const isRaised = (): boolean => getHighestStage(cluster) === 2;
-    assert.ok(await cluster.advanceUntil(isRaised, 60_000));
+    recordGoodRatings(next);
+    const isAdvanced = (): boolean => getHighestStage(cluster) === 2;
+    assert.ok(await cluster.advanceUntil(isAdvanced, 60_000));
   }),
 );
 
 test(
-  'a holder frozen past its lease cannot raise',
+  'a holder that was frozen past the end of its lease cannot advance a stage',
   withCluster(async (cluster) => {
-    // Symptom: a stage that the present holder has not raised comes into force.
-    // Sequence: the holder looks at its lease, sends the raise, and both stand still; the lease goes to
-    // another; then the write arrives.
-    // Cause: a lease that was valid when looked at says nothing of when the write takes effect.
-    const holder = await startHeld(cluster);
+    // Guards against a write by a former lease holder. It checks its lease, sends the write and
+    // freezes; the write arrives after another daemon has taken the lease.
+    const holder = await startWithLeaseHolder(cluster);
     let release: (() => void) | undefined;
     cluster.table.beforeTransact(async (transactions) => {
       if (writesRollout(transactions) && release === undefined) {
@@ -183,32 +184,30 @@
         });
       }
     });
-    proveCandidate(holder);
+    recordGoodRatings(holder);
     await cluster.advanceUntil(() => release !== undefined, 20_000);
     cluster.frozen.add(holder.self.vm);
-    const isTaken = (): boolean =>
+    const isTakenOver = (): boolean =>
       cluster.daemons.some(
-        (daemon) => daemon !== holder && daemon.system.runner.listHeld().length > 0,
+        (daemon) => daemon !== holder && daemon.system.runner.listHeldRollouts().length > 0,
       );
-    assert.ok(await cluster.advanceUntil(isTaken, 60_000));
+    assert.ok(await cluster.advanceUntil(isTakenOver, 60_000));
     const [before] = await cluster.table.read(['rollout/small']);
     release?.();
     cluster.frozen.clear();
     await cluster.advance(300);
     const [after] = await cluster.table.read(['rollout/small']);
     assert.equal(after, before);
-    assert.ok(!holder.system.runner.listHeld().includes('small'));
+    assert.ok(!holder.system.runner.listHeldRollouts().includes('small'));
   }),
 );
 
 test(
-  'a withdrawal that comes between the look and the write stops the raise',
+  'a withdrawal between the read and the write of the holder prevents the advance',
   withCluster(async (cluster) => {
-    // Symptom: a withdrawn version goes up a stage.
-    // Sequence: the holder sees no mark and sends the raise; an operator withdraws elsewhere; the mark
-    // reaches the table first.
-    // Cause: mark and stage are rows of their own.
-    const holder = await startHeld(cluster);
+    // Guards against advancing a withdrawn version. The holder sees no withdrawal and sends its
+    // write, but a withdrawal, which is a separate row, reaches the table first.
+    const holder = await startWithLeaseHolder(cluster);
     const operator = cluster.daemons.find((daemon) => daemon !== holder) as TestDaemon;
     let isWithdrawn = false;
     cluster.table.beforeTransact(async (transactions) => {
@@ -217,7 +216,7 @@
         await operator.safeMoves.activate('withdraw', CANDIDATE, 'bad', 'ann');
       }
     });
-    proveCandidate(holder);
+    recordGoodRatings(holder);
     await cluster.advance(30_000);
     assert.ok(isWithdrawn);
     assert.is(getHighestStage(cluster), 0);
@@ -226,37 +225,35 @@
 );
 
 test(
-  'a withdrawal that only the table knows of stops the raise',
+  'a withdrawal known only to the table prevents the advance',
   withCluster(async (cluster) => {
-    // Symptom: a withdrawn version goes up a stage.
-    // Sequence: an operator withdraws at a daemon that dies once the mark is in the table.
-    // Cause: the holder has not heard of the mark.
-    const holder = await startHeld(cluster);
+    // Guards against advancing a withdrawn version. The daemon that accepted the withdrawal dies
+    // after writing it to the table, so the lease holder never hears of it by gossip.
+    const holder = await startWithLeaseHolder(cluster);
     const key = `safeMove/withdraw/${CANDIDATE}`;
     await cluster.table.transact([
       { conditions: [], writes: [{ key, value: { isActive: true } }] },
     ]);
-    proveCandidate(holder);
+    recordGoodRatings(holder);
     await cluster.advance(20_000);
     assert.is(getHighestStage(cluster), 0);
   }),
 );
 
 test(
-  'a withdrawal that comes after the raise leaves it without effect',
+  'a withdrawal after the last advance stops the assignment of the candidate',
   withCluster(async (cluster) => {
-    // Symptom: a withdrawn version gets new sessions.
-    // Sequence: the holder raises to all; an operator withdraws at a daemon while the table is away.
-    // Cause: the row of the roll-out still says that the candidate has its share.
-    const holder = await startHeld(cluster);
-    proveCandidate(holder);
+    // Guards against assigning new sessions to a withdrawn version. The withdrawal is made while
+    // the table is unavailable, and the stored roll-out state still gives the candidate its share.
+    const holder = await startWithLeaseHolder(cluster);
+    recordGoodRatings(holder);
     const isFinished = (): boolean => getReport(getDaemon(cluster)).phase === 'finished';
     await cluster.advanceUntil(() => {
-      rate(holder, CANDIDATE, 0.95, 20);
+      recordRatings(holder, CANDIDATE, 0.95, 20);
       return isFinished();
     }, 60_000);
     assert.is(assign(getDaemon(cluster)), CANDIDATE);
-    cluster.table.setAway(true);
+    cluster.table.setUnavailable(true);
     void getDaemon(cluster, 4).safeMoves.activate('withdraw', CANDIDATE, 'bad', 'ann');
     await cluster.advance(2_000);
     cluster.daemons.forEach((daemon) => assert.is(assign(daemon), STABLE));
@@ -264,86 +261,82 @@
 );
 
 test(
-  'nothing is raised nor rated in line while the rater is down',
+  'does not advance or rate inline while the rater is down',
   withCluster(async (cluster) => {
-    // Symptom: a stage goes up, or requests wait for ratings, in an outage of the rater.
-    // Sequence: the evidence suffices for a raise just as the rater goes away.
-    // Cause: counts that are there say nothing of what comes now.
-    const holder = await startHeld(cluster);
+    // Guards against advancing a stage or waiting for inline ratings during a rater outage, when
+    // the existing counts suffice to advance but say nothing about current quality.
+    const holder = await startWithLeaseHolder(cluster);
     cluster.rater.setDown(true);
     startTraffic(cluster);
     await cluster.advanceUntil(() => !holder.system.evidence.isRaterUp(), 60_000);
-    proveCandidate(holder);
+    recordGoodRatings(holder);
     await cluster.advance(30_000);
     assert.is(getHighestStage(cluster), 0);
     cluster.rater.setDown(false);
-    const isRaised = (): boolean => getHighestStage(cluster) > 0;
-    assert.ok(await cluster.advanceUntil(isRaised, 60_000));
+    const isAdvanced = (): boolean => getHighestStage(cluster) > 0;
+    assert.ok(await cluster.advanceUntil(isAdvanced, 60_000));
   }),
 );
 
 test(
-  'nothing is raised while the table is away, and a bad candidate goes all the same',
+  'does not advance while the table is unavailable, but still quarantines a bad candidate',
   withCluster(async (cluster) => {
-    // Symptom: a share rises that no lease covers, or a bad version stays because the table does.
-    // Sequence: the table goes away for longer than the lease; good and then bad ratings arrive.
-    // Cause: raising asks the table, taking away must not.
-    const holder = await startHeld(cluster);
-    cluster.table.setAway(true);
-    proveCandidate(holder);
+    // Advancing must require the table, and quarantining must not: otherwise a share could rise
+    // without a lease, or a bad version stay in use during a table outage.
+    const holder = await startWithLeaseHolder(cluster);
+    cluster.table.setUnavailable(true);
+    recordGoodRatings(holder);
     await cluster.advance(60_000);
     assert.is(getHighestStage(cluster), 0);
-    assert.is(cluster.findHolder(), undefined);
-    rate(getDaemon(cluster, 5), CANDIDATE, 0.02, 300);
+    assert.is(cluster.findLeaseHolder(), undefined);
+    recordRatings(getDaemon(cluster, 5), CANDIDATE, 0.02, 300);
     const isBlocked = (): boolean => isBlockedEverywhere(cluster);
     assert.ok(await cluster.advanceUntil(isBlocked, 20_000));
   }),
 );
 
 test(
-  'a lost reply to a raise is read back and not raised twice',
+  'advances only once if the reply to the write is lost',
   withCluster(async (cluster) => {
-    // Symptom: a stage is skipped, or the holder stops for no reason.
-    // Sequence: the table takes the raise and the reply is lost.
-    // Cause: the writer cannot tell a lost reply from a lost request.
-    const holder = await startHeld(cluster);
+    // Guards against skipping a stage or stopping after a lost reply, which the writer cannot
+    // distinguish from a lost request.
+    const holder = await startWithLeaseHolder(cluster);
     cluster.table.loseReplies('rollout/', 1);
-    proveCandidate(holder);
+    recordGoodRatings(holder);
     await cluster.advanceUntil(() => getHighestStage(cluster) > 0, 20_000);
     assert.is(getHighestStage(cluster), 1);
-    assert.ok(holder.system.runner.listHeld().includes('small'));
+    assert.ok(holder.system.runner.listHeldRollouts().includes('small'));
   }),
 );
 
 test(
-  'in a data centre that is cut off nothing is raised and grants lapse',
+  'in a partitioned data centre no stage advances and grants expire',
   withCluster(async (cluster) => {
-    // Symptom: more answers are out than the budget once a cut heals.
-    // Sequence: a data centre is cut off with grants in hand; the others count it as gone.
-    // Cause: a grant that nobody can take back.
-    const holder = await startHeld(cluster);
+    // Guards against exceeding the budget when a partition heals. A partitioned data centre keeps
+    // grants that nobody can revoke, while the others consider its daemons dead.
+    const holder = await startWithLeaseHolder(cluster);
     await cluster.advance(20_000);
     const granted = cluster.daemons.find(
-      (daemon) => daemon.self.dataCentre !== holder.self.dataCentre && isGranted(daemon),
+      (daemon) => daemon.self.dataCentre !== holder.self.dataCentre && canAssignCandidate(daemon),
     ) as TestDaemon;
-    cluster.cutOff.add(granted.self.dataCentre);
+    cluster.partitioned.add(granted.self.dataCentre);
     await cluster.advance(100_000);
-    assert.ok(isGranted(granted));
+    assert.ok(canAssignCandidate(granted));
     const neighbour = cluster.daemons.find(
       ({ self }) => self !== granted.self && self.dataCentre === granted.self.dataCentre,
     );
-    proveCandidate(neighbour as TestDaemon);
+    recordGoodRatings(neighbour as TestDaemon);
     await cluster.advance(300_000);
-    assert.not(isGranted(granted));
+    assert.not(canAssignCandidate(granted));
     assert.is(getReport(granted).stage, 0);
   }),
 );
 
 test(
-  'a paused roll-out exposes nothing new and keeps its stage',
+  'a paused roll-out assigns no candidate answers and keeps its stage',
   withCluster(async (cluster) => {
-    const holder = await startHeld(cluster);
-    proveCandidate(holder);
+    const holder = await startWithLeaseHolder(cluster);
+    recordGoodRatings(holder);
     await cluster.advanceUntil(() => getHighestStage(cluster) === 1, 20_000);
     cluster.declare({ stages: easyStages, isPaused: true });
     const traffic = startTraffic(cluster);
@@ -356,13 +349,12 @@
 
 [9, 57].forEach((count) => {
   test(
-    `no caller gets a bad candidate that the shadow shows, ${count} daemons`,
+    `the shadow phase keeps a bad candidate from all callers, ${count} daemons`,
     withShadow(async (cluster) => {
-      // Symptom: callers get bad answers before the first of them is rated.
-      // Sequence: a candidate whose answers all rate near nothing is declared under load.
-      // Cause: nothing is known of a version until it has answered somebody.
+      // Guards against callers receiving bad answers of a new version before its first answer has
+      // been rated.
       cluster.addDaemons(count, DATA_CENTRES);
-      cluster.rater.scoreBy(({ version }) => (version === CANDIDATE ? 0.02 : 0.9));
+      cluster.rater.setScoring(({ version }) => (version === CANDIDATE ? 0.02 : 0.9));
       const traffic = startTraffic(cluster);
       const isBlocked = (): boolean => isBlockedEverywhere(cluster);
       assert.ok(await cluster.advanceUntil(isBlocked, FIVE_MINUTES_MS));
@@ -375,7 +367,7 @@
 });
 
 test(
-  'a good candidate leaves the shadow by the pairs and serves in the end',
+  'a good candidate leaves the shadow phase after enough pairs and finishes',
   withShadow(async (cluster) => {
     cluster.declare({ stages: easyStages });
     cluster.addDaemons(9, DATA_CENTRES);
@@ -383,7 +375,7 @@
     await cluster.advance(15_000);
     assert.is(traffic.candidateAnswers, 0);
     assert.is(getReport(getDaemon(cluster)).sharePct, 0);
-    assert.ok(getReport(getDaemon(cluster)).reason.startsWith('in the shadow'));
+    assert.ok(getReport(getDaemon(cluster)).reason.startsWith('shadow phase'));
     const isFinished = (): boolean =>
       cluster.daemons.every((daemon) => getReport(daemon).phase === 'finished');
     assert.ok(await cluster.advanceUntil(isFinished, 4 * FIVE_MINUTES_MS));
@@ -392,35 +384,36 @@
 );
 
 test(
-  'pairs survive the holder, and gossip that comes twice, late or never',
+  'pairs are kept when the holder dies, and when gossip is duplicated, late or lost',
   withShadow(async (cluster) => {
-    // Symptom: a roll-out stays in the shadow for good, or leaves it by pairs that were counted twice.
-    // Sequence: gossip is lost and repeated; the holder dies while pairs come in.
-    // Cause: counts that add up on arrival, or that only the holder knows.
-    Object.assign(cluster.faults, { loss: 0.3, repetition: 0.3, delayMs: 3_000 });
-    const holder = await startHeld(cluster);
+    // Guards against pairs that are lost with the lease holder or counted twice when gossip is
+    // duplicated, so that the roll-out never leaves the shadow phase or leaves it too early.
+    Object.assign(cluster.faults, { loss: 0.3, duplication: 0.3, delayMs: 3_000 });
+    const holder = await startWithLeaseHolder(cluster);
     const traffic = startTraffic(cluster);
     const countPairs = (daemon: TestDaemon): number =>
       Number(/(\d+) pairs/.exec(getReport(daemon).reason)?.[1] ?? 0);
     const hasPairs = (): boolean => countPairs(getDaemon(cluster, 1)) >= 30;
     assert.ok(await cluster.advanceUntil(hasPairs, FIVE_MINUTES_MS));
     cluster.kill(holder);
-    const isBeyond = (): boolean => traffic.candidateAnswers > 0;
+    const hasCandidateAnswers = (): boolean => traffic.candidateAnswers > 0;
     cluster.daemons.forEach((daemon) =>
-      assert.ok(countPairs(daemon) <= traffic.shadowAnswers, 'counted twice'),
+      assert.ok(
+        countPairs(daemon) <= traffic.shadowAnswers,
+        'more pairs counted than shadow answers given',
+      ),
     );
-    assert.ok(await cluster.advanceUntil(isBeyond, FIVE_MINUTES_MS));
+    assert.ok(await cluster.advanceUntil(hasCandidateAnswers, FIVE_MINUTES_MS));
     assert.ok(traffic.shadowAnswers >= rolloutSettings.minShadowPairs);
   }),
 );
 
 test(
-  'only what may run twice is answered in the shadow, and nothing while the rater is down',
+  'shadows only idempotent requests, and none while the rater is down',
   withShadow(async (cluster) => {
-    // Symptom: a filing is sent to two versions; shadows cost engines though nobody can rate them.
-    // Sequence: requests that must run once, and then an outage of the rater, in the shadow phase.
-    // Cause: the draw looks at the share alone.
-    const holder = await startHeld(cluster);
+    // Guards against running a non-idempotent request on two versions, and against shadow runs that
+    // nobody can rate during a rater outage.
+    const holder = await startWithLeaseHolder(cluster);
     await cluster.advance(10_000);
     const countShadows = (isIdempotent: boolean): number =>
       Array.from({ length: 200 }, () =>
--- a/packages/rollouts/src/rolloutSystem.ts
+++ b/packages/rollouts/src/rolloutSystem.ts
@@ -1,4 +1,4 @@
-/** Evidence and roll-outs of one daemon, wired together. */
+/** Wires evidence and roll-outs of one daemon together. */
 import type { ActorSystem, Logger, Random } from '@snipehaven/common';
 import type { ConfigurationStore, SafeMoves } from '@snipehaven/configuration';
 import type { GossipTopic, LeaseKeeper, MembershipView } from '@snipehaven/membership';
@@ -8,12 +8,12 @@
 import type { TimelineRecorder } from '@snipehaven/timeline';
 import { rolloutSettings } from './constants.js';
 import { GrantedRolloutAssigner } from './rollout/grantedRolloutAssigner.js';
-import { GuardWatch } from './rollout/guardWatch.js';
+import { GuardEvaluator } from './rollout/guardEvaluator.js';
 import { RolloutCatalogue } from './rollout/rolloutCatalogue.js';
 import { RolloutRunner } from './rollout/rolloutRunner.js';
 import { RolloutStates } from './rollout/rolloutStates.js';
 import { RolloutTopic } from './rollout/rolloutTopic.js';
-import { SharedEvidenceBook } from './sharedEvidenceBook.js';
+import { SharedEvidenceStore } from './sharedEvidenceStore.js';
 import type { RolloutReport } from './types.js';
 
 export interface RolloutSystemOptions {
@@ -28,25 +28,25 @@
   readonly timeline: TimelineRecorder;
   readonly logger: Logger;
   readonly random: Random;
-  /** Left out: those in force; tests of the stages alone leave the shadow out. */
+  /** Defaults to the settings in force; tests of the stages alone disable the shadow phase. */
   readonly settings?: RolloutSettings;
 }
 
 export class RolloutSystem {
-  readonly evidence: SharedEvidenceBook;
+  readonly evidence: SharedEvidenceStore;
 
   readonly assigner: GrantedRolloutAssigner;
 
   readonly runner: RolloutRunner;
 
-  /** To be registered with membership. */
+  /** Gossip topics to register with membership. */
   readonly topics: readonly GossipTopic[];
 
   constructor(options: RolloutSystemOptions) {
     const { membership } = options;
     const catalogue = new RolloutCatalogue(options.configuration);
     const states = new RolloutStates();
-    this.evidence = new SharedEvidenceBook({ ...options, catalogue, states });
+    this.evidence = new SharedEvidenceStore({ ...options, catalogue, states });
     const { ledger, cells } = this.evidence;
     const isRaterUp = (): boolean => this.evidence.isRaterUp();
     const { settings = rolloutSettings } = options;
@@ -55,13 +55,16 @@
       ...shared,
       incarnation: membership.self.incarnation,
     });
-    this.runner = new RolloutRunner({ ...shared, guard: new GuardWatch(cells, states, settings) });
+    this.runner = new RolloutRunner({
+      ...shared,
+      guard: new GuardEvaluator(cells, states, settings),
+    });
     const isDeclared = (rolloutId: string): boolean =>
       catalogue.list().some(({ definition }) => definition.rolloutId === rolloutId);
     this.topics = [this.evidence.topic, new RolloutTopic({ states, membership, isDeclared })];
   }
 
-  /** What the daemon answers to its peers. */
+  /** Handlers for requests of peers. */
   get handlers(): EvidenceHandlers {
     return this.evidence.handlers;
   }
@@ -76,7 +79,7 @@
     await this.runner.stop();
   }
 
-  /** Stops as a killed process would. */
+  /** Stops without releasing leases, like a killed process. */
   kill(): void {
     this.evidence.stop();
     this.runner.kill();
--- a/packages/rollouts/src/sharedEvidenceBook.test.ts
+++ b/packages/rollouts/src/sharedEvidenceStore.test.ts
@@ -10,7 +10,7 @@
   type EvidenceKey,
   type OutcomeCounts,
 } from '@snipehaven/policy';
-import { RATER_FAILURES } from './constants.js';
+import { MAX_CONSECUTIVE_RATER_FAILURES } from './constants.js';
 import { EvidenceCells } from './evidence/evidenceCells.js';
 import { decodeShare, encodeShare } from './evidence/shareCodec.js';
 import { ExposureAccount } from './rollout/exposureAccount.js';
@@ -45,12 +45,12 @@
 });
 
 const getCounts = ({ system }: TestDaemon, version: string, team = 'a'): OutcomeCounts =>
-  system.evidence.cells.getSum(getKey(version, team)) ?? createEmptyCounts();
+  system.evidence.cells.getTotalCounts(getKey(version, team)) ?? createEmptyCounts();
 
 const countRatings = (daemon: TestDaemon, version: string): number =>
   sumBins(getCounts(daemon, version).scoreCounts);
 
-const rate = ({ system }: TestDaemon, version: string, score: number, count = 1): void => {
+const recordRatings = ({ system }: TestDaemon, version: string, score: number, count = 1): void => {
   for (let index = 0; index < count; index += 1) {
     system.evidence.recordScore(getSubject(version), score);
   }
@@ -63,16 +63,15 @@
   cluster.daemons[index] as TestDaemon;
 
 test(
-  'evidence is the same everywhere though gossip is lost, doubled and out of order',
+  'evidence converges although gossip is lost, duplicated and reordered',
   withCluster(async (cluster) => {
-    // Symptom: a version looks better proven than it is, or differs from daemon to daemon.
-    // Sequence: payloads get lost, arrive twice, and older ones arrive after newer ones.
-    // Cause: counts that are added up where they are received.
+    // Guards against evidence that differs between daemons or is overcounted, which happens if
+    // counts are added on receipt while payloads are lost, duplicated or reordered.
     cluster.addDaemons(9, DATA_CENTRES);
-    Object.assign(cluster.faults, { loss: 0.3, repetition: 0.5, delayMs: 4_000 });
-    cluster.daemons.forEach((daemon, index) => rate(daemon, BIG, 0.9, index + 1));
+    Object.assign(cluster.faults, { loss: 0.3, duplication: 0.5, delayMs: 4_000 });
+    cluster.daemons.forEach((daemon, index) => recordRatings(daemon, BIG, 0.9, index + 1));
     await cluster.advance(20_000);
-    cluster.daemons.forEach((daemon) => rate(daemon, BIG, 0.3, 2));
+    cluster.daemons.forEach((daemon) => recordRatings(daemon, BIG, 0.3, 2));
     const total = 45 + 18;
     const isEqual = (): boolean =>
       cluster.daemons.every((daemon) => countRatings(daemon, BIG) === total);
@@ -83,11 +82,10 @@
 );
 
 test(
-  'each score counts once though pollers change and read the same scores again',
+  'each score is counted once although new pollers reread scores',
   withCluster(async (cluster) => {
-    // Symptom: a few bad scores weigh as many, after a daemon was replaced.
-    // Sequence: the poller of a data centre dies; the next one begins a little before it.
-    // Cause: scores counted by whoever reads them.
+    // Guards against counting scores repeatedly when a poller dies and its successor rereads scores
+    // from slightly before its position.
     cluster.addDaemons(6, ['x']);
     const submitter = getDaemon(cluster, 5);
     for (let round = 0; round < 5; round += 1) {
@@ -107,7 +105,7 @@
 );
 
 test(
-  'an answer rated in line is not handed to the rater again',
+  'an answer rated inline is not submitted to the rater again',
   withCluster(async (cluster) => {
     cluster.addDaemons(2, ['x']);
     const { evidence } = getDaemon(cluster, 0).system;
@@ -122,11 +120,10 @@
 );
 
 test(
-  'a rater that is down is noticed, samples are dropped, and its return is noticed too',
+  'detects that the rater is down, drops samples, and detects its recovery',
   withCluster(async (cluster) => {
-    // Symptom: requests wait for a rater that is away, or memory fills up with answers.
-    // Sequence: the rater refuses for hours, then returns.
-    // Cause: each request finds out for itself.
+    // Guards against requests that wait for an unavailable rater, and against answers that fill up
+    // the memory, in a long outage that each request would have to detect by itself.
     cluster.addDaemons(2, ['x']);
     cluster.rater.setDown(true);
     const ask = async ({ system }: TestDaemon): Promise<unknown> =>
@@ -134,7 +131,9 @@
         .rateNow(getSubject(BIG), { requestId: 'r', ...sample }, 100)
         .catch((error: unknown) => error);
     const errors = await Promise.all(
-      Array.from({ length: RATER_FAILURES }).flatMap(() => cluster.daemons.map(ask)),
+      Array.from({ length: MAX_CONSECUTIVE_RATER_FAILURES }).flatMap(() =>
+        cluster.daemons.map(ask),
+      ),
     );
     assert.ok(errors.every((error) => error instanceof Error));
     assert.not(cluster.daemons.some(({ system }) => system.evidence.isRaterUp()));
@@ -150,32 +149,30 @@
 );
 
 test(
-  'evidence is pooled over daemons and at most a second old',
+  'pools evidence over daemons, at most a second old',
   withCluster(async (cluster) => {
     cluster.addDaemons(3, ['x']);
     const { evidence } = getDaemon(cluster, 0).system;
     assert.is(evidence.getEvidence(getSubject(BIG), noPrior).weight, 0);
-    rate(getDaemon(cluster, 1), BIG, 0.9, 30);
+    recordRatings(getDaemon(cluster, 1), BIG, 0.9, 30);
     await cluster.advance(10_000);
     const pooled = evidence.getEvidence(getSubject(BIG), noPrior);
     assert.is(pooled.ownWeight, 30);
     assert.ok(Math.abs(pooled.mean - 0.925) < 1e-9);
-    const ofOtherTeam = evidence.getEvidence(getSubject(BIG, 'b'), noPrior);
-    assert.is(ofOtherTeam.ownWeight, 0);
-    assert.is(ofOtherTeam.weight, 30);
+    const otherTeam = evidence.getEvidence(getSubject(BIG, 'b'), noPrior);
+    assert.is(otherTeam.ownWeight, 0);
+    assert.is(otherTeam.weight, 30);
   }),
 );
 
 test(
-  'a proven version that turns grossly bad starts an era and is quarantined',
+  'a version with good ratings that becomes grossly bad starts a new era and is quarantined',
   withCluster(async (cluster) => {
-    // Symptom: a version that was good for weeks gives bad answers for hours.
-    // Sequence: many good ratings, then bad ones only.
-    // Cause: the good past outweighs the present.
+    // Guards against a large amount of old good ratings that outweighs recent bad ones for hours.
     cluster.addDaemons(6, DATA_CENTRES);
-    rate(getDaemon(cluster, 0), BIG, 0.9, 500);
+    recordRatings(getDaemon(cluster, 0), BIG, 0.9, 500);
     await cluster.advance(1_300_000);
-    cluster.daemons.forEach((daemon) => rate(daemon, BIG, 0.1, 8));
+    cluster.daemons.forEach((daemon) => recordRatings(daemon, BIG, 0.1, 8));
     const isBlocked = (): boolean =>
       cluster.daemons.every(({ safeMoves }) => safeMoves.isActive('quarantine', BIG));
     assert.ok(await cluster.advanceUntil(isBlocked, 60_000));
@@ -186,17 +183,15 @@
 );
 
 test(
-  'a rater that turns harsh takes away evidence but not all versions',
+  'a faulty rater resets evidence but does not quarantine all versions',
   withCluster(async (cluster) => {
-    // Symptom: no version is left to answer with.
-    // Sequence: the rater breaks and gives everything low scores.
-    // Cause: bad ratings are taken for bad versions, one after another.
+    // Guards against quarantining all versions when a faulty rater scores every answer low.
     cluster.addDaemons(3, ['x']);
     const versions = [STABLE, BIG];
-    versions.forEach((version) => rate(getDaemon(cluster, 0), version, 0.9, 500));
+    versions.forEach((version) => recordRatings(getDaemon(cluster, 0), version, 0.9, 500));
     await cluster.advance(1_300_000);
     for (let round = 0; round < 10; round += 1) {
-      versions.forEach((version) => rate(getDaemon(cluster, round % 3), version, 0.1, 10));
+      versions.forEach((version) => recordRatings(getDaemon(cluster, round % 3), version, 0.1, 10));
       await cluster.advance(5_000);
     }
     const { safeMoves } = getDaemon(cluster, 0);
@@ -204,10 +199,9 @@
   }),
 );
 
-test('counters of single daemons go into the aggregate once, and do not come back', () => {
-  // Symptom: evidence doubles every few hours.
-  // Sequence: an epoch's counters are folded into the aggregate; then a peer sends them once more.
-  // Cause: the aggregate and what it was made of are added up.
+test('daemon shares are aggregated once and not counted again', () => {
+  // Guards against double counting after an epoch was folded into the aggregate, when a peer sends
+  // the original shares again.
   const clock = install({ now: 1_700_000_000_000 });
   const cells = new EvidenceCells({ incarnation: 'x0', dataCentre: 'x' });
   const counts = { ...createEmptyCounts(), answerCount: 7 };
@@ -218,13 +212,13 @@
     clock.tick(EPOCH_MS);
     cells.compact();
     cells.merge({ key: getKey(BIG), share });
-    assert.is(cells.getSum(getKey(BIG))?.answerCount, 8);
-    assert.is(cells.getSum(getKey(BIG))?.cutCount, 1);
+    assert.is(cells.getTotalCounts(getKey(BIG))?.answerCount, 8);
+    assert.is(cells.getTotalCounts(getKey(BIG))?.cutCount, 1);
   }
   clock.uninstall();
 });
 
-test('a share is the same after its journey, and a malformed one is refused', () => {
+test('a share survives encoding and decoding, and a malformed one is rejected', () => {
   const counts = { ...createEmptyCounts(), answerCount: 12, slowCount: 3 };
   const share = { source: 'x1', epoch: 5, era: 2, counts };
   assert.equal(decodeShare(encodeShare('a|t|big@1|d', share)), share);
@@ -232,28 +226,27 @@
   assert.is(decodeShare(['a|t|big@1|d', 'x1', 5, 2, [3]]), undefined);
 });
 
-test('an assignment holds its part of the grant until its answers have ended', () => {
-  // Symptom: a daemon exposes many more answers than it was granted.
-  // Sequence: requests come in faster than the first of them ends.
-  // Cause: answers are counted when they end.
+test('an assignment reserves its part of the grant until its answers have ended', () => {
+  // Guards against exceeding the grant when requests arrive faster than answers end, since answers
+  // are counted when they end.
   const account = new ExposureAccount();
   account.reserve({ requestId: 'a', isSession: false, answers: 1 });
   account.reserve({ requestId: 'b', isSession: true, answers: 3 });
   assert.is(account.getChargedCount(), 4);
-  account.noteEnding(false);
+  account.recordEnding(false);
   account.release('a');
   assert.is(account.getChargedCount(), 4);
-  account.noteEnding(true);
+  account.recordEnding(true);
   account.release('b');
   assert.is(account.getChargedCount(), 4);
   assert.is(account.judgedCount, 1);
-  account.noteScore();
-  account.noteScore();
+  account.recordScore();
+  account.recordScore();
   assert.is(account.judgedCount, 2);
 });
 
 test(
-  'gossip stays within its bytes with many cells',
+  'gossip stays within its byte budget with many cells',
   withCluster(async (cluster) => {
     cluster.addDaemons(9, DATA_CENTRES);
     const traffic = new Traffic(cluster, { requestsPerSecond: 45, teams: 10, tasks: 4 });
--- a/packages/rollouts/src/sharedEvidenceBook.ts
+++ b/packages/rollouts/src/sharedEvidenceStore.ts
@@ -1,4 +1,4 @@
-/** Evidence of all daemons, as the request path reads it and adds to it. */
+/** Evidence shared by all daemons, as read and written by the request path. */
 import { getErrorMessage, getModelOfVersion, type Logger } from '@snipehaven/common';
 import type { ConfigurationStore, SafeMoves } from '@snipehaven/configuration';
 import type { GossipTopic, MembershipView } from '@snipehaven/membership';
@@ -19,7 +19,7 @@
 } from './constants.js';
 import { RatingUnavailableError } from './errors.js';
 import { toEvidenceKey } from './evidence/cellKey.js';
-import { DriftWatch } from './evidence/driftWatch.js';
+import { DriftMonitor } from './evidence/driftMonitor.js';
 import { EvidenceCells } from './evidence/evidenceCells.js';
 import { EvidenceTopic } from './evidence/evidenceTopic.js';
 import { PooledEvidence } from './evidence/pooledEvidence.js';
@@ -39,7 +39,7 @@
   EvidenceSubject,
 } from './types.js';
 
-export interface SharedEvidenceBookOptions {
+export interface SharedEvidenceStoreOptions {
   readonly rater: RaterClient;
   readonly membership: MembershipView;
   readonly transport: PeerTransport;
@@ -50,30 +50,29 @@
   readonly logger: Logger;
 }
 
-/** Counters for metrics. */
 export interface EvidenceCounters {
   readonly droppedSamples: number;
   readonly outstandingSamples: number;
   readonly cells: number;
 }
 
-export class SharedEvidenceBook implements EvidenceBook {
+export class SharedEvidenceStore implements EvidenceBook {
   readonly cells: EvidenceCells;
 
-  /** Counts this daemon's answers of candidates. */
+  /** Counts the candidate answers that this daemon served. */
   readonly ledger: ExposureLedger;
 
   readonly topic: GossipTopic;
 
   readonly handlers: EvidenceHandlers = {
-    deliverScores: async ({ scores }) => ({ counted: this.#takeScores(scores) }),
+    deliverScores: async ({ scores }) => ({ counted: this.#countScores(scores) }),
   };
 
-  readonly #options: SharedEvidenceBookOptions;
+  readonly #options: SharedEvidenceStoreOptions;
 
   readonly #pooled: PooledEvidence;
 
-  readonly #slow = new SlowThresholds();
+  readonly #slowThresholds = new SlowThresholds();
 
   readonly #health: RaterHealth;
 
@@ -83,28 +82,28 @@
 
   readonly #poller: ScorePoller;
 
-  readonly #drift: DriftWatch;
+  readonly #driftMonitor: DriftMonitor;
 
-  /** Answers that were rated in line, by request and version. */
+  /** Answers rated inline, by request and version. */
   readonly #ratedInline = new Set<string>();
 
   #timers: readonly NodeJS.Timeout[] = [];
 
-  constructor(options: SharedEvidenceBookOptions) {
+  constructor(options: SharedEvidenceStoreOptions) {
     const { rater, membership, catalogue, safeMoves, logger } = options;
     const { incarnation, dataCentre } = membership.self;
     this.#options = options;
     this.cells = new EvidenceCells({ incarnation, dataCentre });
     this.ledger = new ExposureLedger(catalogue);
-    this.#pooled = new PooledEvidence(this.cells, (version) => this.#findStandIn(version));
+    this.#pooled = new PooledEvidence(this.cells, (version) => this.#findProxyVersion(version));
     this.#health = new RaterHealth(rater);
     this.#samples = new SampleQueue({ rater, health: this.#health, incarnation });
     this.#poller = new ScorePoller({
       ...options,
       health: this.#health,
-      takeScores: (scores) => this.#takeScores(scores),
+      countScores: (scores) => this.#countScores(scores),
     });
-    this.#drift = new DriftWatch({
+    this.#driftMonitor = new DriftMonitor({
       cells: this.cells,
       safeMoves,
       listVersions: () => this.#listVersions(),
@@ -116,7 +115,7 @@
       membership,
       isUrgent: (version) => catalogue.findByCandidate(version) !== undefined,
       getRatedSeq: () => this.#poller.ratedSeq,
-      noteRatedSeq: (seq) => this.#poller.noteRatedSeq(seq),
+      recordRatedSeq: (seq) => this.#poller.recordRatedSeq(seq),
     });
   }
 
@@ -145,25 +144,27 @@
   recordEnding(subject: EvidenceSubject, ending: AnswerEnding): void {
     const { version, task } = subject;
     const model = getModelOfVersion(version);
-    const isSlow = ending.end === 'complete' && this.#slow.observe(model, task, ending.totalMs);
+    const isSlow =
+      ending.end === 'complete' && this.#slowThresholds.observe(model, task, ending.totalMs);
     this.cells.count(toEvidenceKey(subject), { type: 'ended', end: ending.end, isSlow });
-    this.ledger.noteEnding(version, ending.end !== 'complete');
+    this.ledger.recordEnding(version, ending.end !== 'complete');
   }
 
   recordScore(subject: EvidenceSubject, score: number): void {
     this.cells.count(toEvidenceKey(subject), { type: 'rated', score });
-    this.ledger.noteScore(subject.version);
+    this.ledger.recordScore(subject.version);
   }
 
   /**
-   * What goes wrong: a pair's scores counted as ratings too would let the shadow's hundreds raise the limit
-   * of answers that callers may get unrated. One notices it by a slow candidate, which the shadow cannot
-   * tell from a good one, and of which callers get far more than the budget. They count as pairs only.
+   * Scores of a pair are counted only as a pair and not as ratings. Otherwise the hundreds of
+   * shadow ratings would raise the number of unrated answers that callers may receive, and a slow
+   * candidate, which looks fine in the shadow phase, would serve far more answers than the exposure
+   * budget.
    */
   submitPair({ requestId, prompt, stable, candidate }: AnswerPair): void {
     const pairId = `${requestId}.pair`;
     const sides = { stable, candidate } as const;
-    this.#pairs.open(pairId, candidate.subject.version);
+    this.#pairs.register(pairId, candidate.subject.version);
     (['stable', 'candidate'] as const).forEach((side) => {
       const { subject, answer } = sides[side];
       const sample = { requestId: `${pairId}.${side}`, prompt, answer };
@@ -186,12 +187,12 @@
     const { requestId: id, prompt, answer } = sample;
     const request = { id, team, task, version, prompt, answer };
     try {
-      const score = await this.#health.watch(() => this.#rateInTime(request, timeoutMs));
-      this.#rememberRated(this.#getAnswerKey(subject, sample));
+      const score = await this.#health.track(() => this.#rateWithTimeout(request, timeoutMs));
+      this.#cacheRatedInline(this.#getAnswerKey(subject, sample));
       return score;
     } catch (error) {
-      this.#options.logger.debug({ error: getErrorMessage(error) }, 'no rating in line');
-      throw new RatingUnavailableError(`no score for ${id}`, { cause: error });
+      this.#options.logger.debug({ error: getErrorMessage(error) }, 'inline rating failed');
+      throw new RatingUnavailableError(`no inline score for request ${id}`, { cause: error });
     }
   }
 
@@ -207,14 +208,15 @@
     };
   }
 
-  /** The client may wait longer than it was told to; the request does not. */
-  async #rateInTime(
+  /** Enforces the timeout here, because the rater client may exceed it. */
+  async #rateWithTimeout(
     request: Parameters<RaterClient['rate']>[0],
     timeoutMs: number,
   ): Promise<number> {
     let timer: NodeJS.Timeout | undefined;
     const timeout = new Promise<never>((_, reject) => {
-      const fail = (): void => reject(new RatingUnavailableError('no answer in time'));
+      const fail = (): void =>
+        reject(new RatingUnavailableError(`the rater did not answer within ${timeoutMs} ms`));
       timer = setTimeout(fail, timeoutMs);
     });
     try {
@@ -225,27 +227,27 @@
   }
 
   #tick(): void {
-    this.#drift.check();
-    this.ledger.notePassed(this.#poller.advancedAtMs);
+    this.#driftMonitor.check();
+    this.ledger.expireUnrated(this.#poller.advancedAtMs);
     void this.#health.probeIfDown();
   }
 
-  #takeScores(scores: readonly DeliverScores['scores'][number][]): number {
+  #countScores(scores: readonly DeliverScores['scores'][number][]): number {
     const counted = scores.flatMap(({ id, score }) => {
-      const sample = this.#samples.takeScored(id);
+      const sample = this.#samples.takeOutstanding(id);
       return sample === undefined ? [] : [{ ...sample, score }];
     });
     counted.forEach(({ subject, part, score }) => {
       if (part === undefined) {
         this.recordScore(subject, score);
       } else {
-        this.#countPair(this.#pairs.note(part, score));
+        this.#countPair(this.#pairs.recordScore(part, score));
       }
     });
     return counted.length;
   }
 
-  /** Counts a whole pair under this daemon's name, while the roll-out that it is for is declared. */
+  /** Counts a complete pair with this daemon as its source, if the roll-out is still declared. */
   #countPair(pair: ScoredPair | undefined): void {
     const { catalogue, states, membership } = this.#options;
     const declared = pair && catalogue.findByCandidate(pair.candidateVersion);
@@ -258,7 +260,7 @@
     states.mergePairs(rolloutId, addPair(share, pair.stableScore, pair.candidateScore));
   }
 
-  #findStandIn(version: string): ReturnType<ConstructorParameters<typeof PooledEvidence>[1]> {
+  #findProxyVersion(version: string): ReturnType<ConstructorParameters<typeof PooledEvidence>[1]> {
     const { catalogue, states } = this.#options;
     const definition = catalogue.findByCandidate(version)?.definition;
     const phase = definition && states.getProgress(definition.rolloutId)?.phase;
@@ -276,7 +278,7 @@
     return `${requestId}|${version}`;
   }
 
-  #rememberRated(answerKey: string): void {
+  #cacheRatedInline(answerKey: string): void {
     this.#ratedInline.add(answerKey);
     if (this.#ratedInline.size > MAX_RATED_INLINE) {
       const [oldest] = this.#ratedInline;
--- a/packages/rollouts/src/testing/fakeRater.ts
+++ b/packages/rollouts/src/testing/fakeRater.ts
@@ -1,4 +1,4 @@
-/** A rater in memory for tests: late, and down when told to. */
+/** In-memory rater for tests, with delayed scores and simulated outages. */
 import {
   PlatformRefusedError,
   type RaterClient,
@@ -27,23 +27,23 @@
     this.#isDown = isDown;
   }
 
-  /** Decides the scores of answers. */
-  scoreBy(getScore: (request: RatingRequest) => number): void {
+  /** Sets the function that scores answers. */
+  setScoring(getScore: (request: RatingRequest) => number): void {
     this.#getScore = getScore;
   }
 
   async submit(requests: readonly RatingRequest[]): Promise<void> {
-    this.#pass();
+    this.#checkAvailable();
     requests.forEach((request) => this.#pending.push({ dueMs: Date.now() + DELAY_MS, request }));
   }
 
   async rate(request: RatingRequest): Promise<number> {
-    this.#pass();
+    this.#checkAvailable();
     return this.#getScore(request);
   }
 
   async fetchRatings(afterSeq: number, limit: number): Promise<RatingPage> {
-    this.#pass();
+    this.#checkAvailable();
     this.#publishDue();
     const ratings = this.#published.filter(({ seq }) => seq > afterSeq).slice(0, limit);
     return { ratings, lastSeq: this.#published.length };
@@ -54,7 +54,7 @@
     return this.#published.length;
   }
 
-  #pass(): void {
+  #checkAvailable(): void {
     if (this.#isDown) {
       throw new PlatformRefusedError('the rater is down');
     }
--- a/packages/rollouts/src/testing/fakeTable.ts
+++ b/packages/rollouts/src/testing/fakeTable.ts
@@ -1,4 +1,4 @@
-/** A table in memory for tests, which can be away, lose replies, and let others in between. */
+/** In-memory table for tests, which can simulate outages, lost replies and concurrent writes. */
 import {
   PlatformOutcomeUnknownError,
   PlatformRefusedError,
@@ -16,10 +16,13 @@
 export class FakeTable implements TableClient {
   readonly #rows = new Map<string, TableRow>();
 
-  /** All calls are refused from now on. */
-  #isAway = false;
+  /** While true, all calls are refused. */
+  #isUnavailable = false;
 
-  /** So many transactions that write a key with the prefix take effect and lose their reply. */
+  /**
+   * The next `count` transactions that write a key with the prefix take effect, but their reply is
+   * lost.
+   */
   #lostReplies = { prefix: '', count: 0 };
 
   #beforeTransact: TransactListener = () => Promise.resolve();
@@ -30,21 +33,24 @@
     return this.#calls;
   }
 
-  setAway(isAway: boolean): void {
-    this.#isAway = isAway;
+  setUnavailable(isUnavailable: boolean): void {
+    this.#isUnavailable = isUnavailable;
   }
 
   loseReplies(prefix: string, count: number): void {
     this.#lostReplies = { prefix, count };
   }
 
-  /** Calls the function before each transaction takes effect; what it awaits holds it back. */
+  /**
+   * Sets a function that runs before each transaction takes effect; the transaction waits for its
+   * promise.
+   */
   beforeTransact(listener: TransactListener): void {
     this.#beforeTransact = listener;
   }
 
   async transact(transactions: readonly TableTransaction[]): Promise<readonly TransactionResult[]> {
-    this.#pass();
+    this.#checkAvailable();
     await this.#beforeTransact(transactions);
     const results = transactions.map((transaction) => this.#run(transaction));
     const isHit = transactions.some(({ writes }) =>
@@ -58,22 +64,22 @@
   }
 
   async read(keys: readonly string[]): Promise<readonly TableRow[]> {
-    this.#pass();
+    this.#checkAvailable();
     return copy(keys.flatMap((key) => this.#rows.get(key) ?? []));
   }
 
   async scan({ prefix, afterKey = '', limit }: ScanOptions): Promise<readonly TableRow[]> {
-    this.#pass();
+    this.#checkAvailable();
     const rows = [...this.#rows.values()].filter(
       ({ key }) => key.startsWith(prefix) && key > afterKey,
     );
     return copy(rows.sort((a, b) => (a.key < b.key ? -1 : 1)).slice(0, limit));
   }
 
-  #pass(): void {
+  #checkAvailable(): void {
     this.#calls += 1;
-    if (this.#isAway) {
-      throw new PlatformRefusedError('the table is away');
+    if (this.#isUnavailable) {
+      throw new PlatformRefusedError('the table is unavailable');
     }
   }
 
