--- a/packages/rollouts/src/testing/testCluster.ts
+++ b/packages/rollouts/src/testing/testCluster.ts
@@ -1,4 +1,4 @@
-/** Daemons in one process over one table and rater, with a clock that tests advance. */
+/** A cluster of daemons in one process with a shared table, rater and fake clock. */
 import {
   createRandom,
   createSilentLogger,
@@ -23,7 +23,7 @@
 import { FakeRater } from './fakeRater.js';
 import { FakeTable } from './fakeTable.js';
 
-/** The part of a faked clock that the cluster needs. */
+/** The parts of the fake clock that the cluster uses. */
 interface TestClock {
   tickAsync(durationMs: number): Promise<number>;
   uninstall(): void;
@@ -36,13 +36,13 @@
   readonly timeline: Timeline;
 }
 
-/** What gossip suffers. */
+/** Simulated gossip faults. */
 interface GossipFaults {
-  /** Share of payloads that never arrive. */
+  /** Fraction of payloads that are lost. */
   loss: number;
-  /** Share of payloads that arrive twice. */
-  repetition: number;
-  /** Payloads arrive up to this much later, so out of order. */
+  /** Fraction of payloads that are delivered twice. */
+  duplication: number;
+  /** Maximum random delay of a payload, which also reorders payloads. */
   delayMs: number;
 }
 
@@ -74,15 +74,15 @@
 
   readonly random = createRandom(7);
 
-  readonly faults: GossipFaults = { loss: 0, repetition: 0, delayMs: 0 };
+  readonly faults: GossipFaults = { loss: 0, duplication: 0, delayMs: 0 };
 
-  /** VMs that stand still: they reach nothing and nobody reaches them. */
+  /** VMs whose daemons are frozen: they neither send nor receive. */
   readonly frozen = new Set<string>();
 
-  /** Data centres that reach nothing outside, the platform included. */
-  readonly cutOff = new Set<string>();
+  /** Data centres that are partitioned from the others and from the platform. */
+  readonly partitioned = new Set<string>();
 
-  /** Bytes of both topics' payloads by VM, sent and received. */
+  /** Bytes of both topics' payloads per VM, sent and received. */
   readonly gossipBytes = new Map<string, number>();
 
   readonly #clock: TestClock;
@@ -91,7 +91,7 @@
 
   readonly #daemons: TestDaemon[] = [];
 
-  #late: { readonly dueMs: number; readonly deliver: () => void }[] = [];
+  #inFlight: { readonly dueMs: number; readonly deliver: () => void }[] = [];
 
   #resources: readonly Resource[] = [];
 
@@ -112,7 +112,7 @@
     return this.#daemons;
   }
 
-  /** Declares the roll-out, with changes against the default. */
+  /** Declares the roll-out with changes to the default spec. */
   declare(changes: Partial<RolloutSpec>): void {
     this.#revision += 1;
     const describe = (kind: Kind, name: string, spec: unknown): Resource => ({
@@ -133,12 +133,12 @@
     ];
   }
 
-  /** Calls the function at each step of the clock. */
+  /** Sets a function to call at each step of the clock. */
   onStep(listener: (stepMs: number) => void): void {
     this.#onStep = listener;
   }
 
-  /** Starts so many daemons, spread over the data centres in turn. */
+  /** Starts `count` daemons, distributed over the data centres round-robin. */
   addDaemons(count: number, dataCentres: readonly string[]): void {
     for (let index = 0; index < count; index += 1) {
       const dataCentre = dataCentres[index % dataCentres.length] as string;
@@ -160,14 +160,14 @@
     const timeline = new Timeline({ vm, dataCentre, incarnation }, new HybridClock());
     const random = createRandom(this.#daemons.length + 1);
     const membership = this.#createMembership(self);
-    const table = this.#guardTable(self);
+    const table = this.#createTable(self);
     const transport = this.#createTransport(self);
     const base = { table, transport, membership, timeline, logger, random };
     const safeMoves = new SafeMoveRegistry({ ...base, settings: DEFAULT_SETTINGS });
     const system = new RolloutSystem({
       ...base,
       leases: new TableLeaseKeeper({ ...base, incarnation }),
-      rater: this.#guardRater(self),
+      rater: this.#createRater(self),
       configuration: { getView: () => this.#getView() },
       safeMoves,
       actorSystem: startActorSystem(),
@@ -184,16 +184,16 @@
     this.#daemons.splice(this.#daemons.indexOf(daemon), 1);
   }
 
-  /** The daemon that drives the roll-out. */
-  findHolder(): TestDaemon | undefined {
-    return this.#daemons.find(({ system }) => system.runner.listHeld().length > 0);
+  /** The daemon that holds the lease of the roll-out. */
+  findLeaseHolder(): TestDaemon | undefined {
+    return this.#daemons.find(({ system }) => system.runner.listHeldRollouts().length > 0);
   }
 
   async advance(durationMs: number): Promise<void> {
     for (let passedMs = 0; passedMs < durationMs; passedMs += STEP_MS) {
       await this.#clock.tickAsync(STEP_MS);
       this.#elapsedMs += STEP_MS;
-      this.#deliverLate();
+      this.#deliverDue();
       this.#onStep(STEP_MS);
       if (this.#elapsedMs % GOSSIP_MS === 0) {
         this.#gossip();
@@ -201,7 +201,7 @@
     }
   }
 
-  /** Advances until the condition holds; false where it does not in time. */
+  /** Advances until the condition holds or the limit is reached; returns whether it holds. */
   async advanceUntil(condition: () => boolean, limitMs: number): Promise<boolean> {
     for (let passedMs = 0; passedMs < limitMs && !condition(); passedMs += GOSSIP_MS) {
       await this.advance(GOSSIP_MS);
@@ -227,46 +227,46 @@
   }
 
   #canReach(from: Member, to: Member): boolean {
-    const isCut = [from, to].some(({ dataCentre }) => this.cutOff.has(dataCentre));
+    const isPartitioned = [from, to].some(({ dataCentre }) => this.partitioned.has(dataCentre));
     const isFrozen = [from, to].some(({ vm }) => this.frozen.has(vm));
-    return from === to || (!isFrozen && (from.dataCentre === to.dataCentre || !isCut));
+    return from === to || (!isFrozen && (from.dataCentre === to.dataCentre || !isPartitioned));
   }
 
-  #checkPlatform({ dataCentre, vm }: Member): void {
-    if (this.cutOff.has(dataCentre) || this.frozen.has(vm)) {
+  #checkPlatformReachable({ dataCentre, vm }: Member): void {
+    if (this.partitioned.has(dataCentre) || this.frozen.has(vm)) {
       throw new PlatformRefusedError('unreachable');
     }
   }
 
-  #guardTable(self: Member): TableClient {
+  #createTable(self: Member): TableClient {
     return {
       transact: async (transactions) => {
-        this.#checkPlatform(self);
+        this.#checkPlatformReachable(self);
         return this.table.transact(transactions);
       },
       read: async (keys) => {
-        this.#checkPlatform(self);
+        this.#checkPlatformReachable(self);
         return this.table.read(keys);
       },
       scan: async (options) => {
-        this.#checkPlatform(self);
+        this.#checkPlatformReachable(self);
         return this.table.scan(options);
       },
     };
   }
 
-  #guardRater(self: Member): RaterClient {
+  #createRater(self: Member): RaterClient {
     return {
       submit: async (requests) => {
-        this.#checkPlatform(self);
+        this.#checkPlatformReachable(self);
         return this.rater.submit(requests);
       },
       rate: async (request) => {
-        this.#checkPlatform(self);
+        this.#checkPlatformReachable(self);
         return this.rater.rate(request);
       },
       fetchRatings: async (afterSeq, limit) => {
-        this.#checkPlatform(self);
+        this.#checkPlatformReachable(self);
         return this.rater.fetchRatings(afterSeq, limit);
       },
     };
@@ -331,32 +331,35 @@
     };
   }
 
-  /** As membership does: each daemon one near peer in turn, two relays every other round each far one. */
+  /**
+   * Exchanges payloads like membership: in each round every daemon with one local peer and, in
+   * every other round, two relays per data centre with one member of each remote data centre.
+   */
   #gossip(): void {
     const round = this.#elapsedMs / GOSSIP_MS;
     this.#daemons.forEach((daemon) => {
       const peers = this.#daemons.filter(
         (other) => other !== daemon && this.#canReach(daemon.self, other.self),
       );
-      const isNear = ({ self }: TestDaemon): boolean => self.dataCentre === daemon.self.dataCentre;
-      const near = peers.filter(isNear);
-      const nearest = near[this.random.nextInt(Math.max(1, near.length))];
-      const far = this.#isRelay(daemon, near) && round % 2 === 0 ? peers : [];
-      const farDataCentres = new Set(
-        far.filter((peer) => !isNear(peer)).map(({ self }) => self.dataCentre),
+      const isLocal = ({ self }: TestDaemon): boolean => self.dataCentre === daemon.self.dataCentre;
+      const localPeers = peers.filter(isLocal);
+      const localPeer = localPeers[this.random.nextInt(Math.max(1, localPeers.length))];
+      const reachablePeers = this.#isRelay(daemon, localPeers) && round % 2 === 0 ? peers : [];
+      const remoteDataCentres = new Set(
+        reachablePeers.filter((peer) => !isLocal(peer)).map(({ self }) => self.dataCentre),
       );
-      const relays = [...farDataCentres].map((dataCentre) => {
-        const members = far.filter(({ self }) => self.dataCentre === dataCentre);
+      const relays = [...remoteDataCentres].map((dataCentre) => {
+        const members = reachablePeers.filter(({ self }) => self.dataCentre === dataCentre);
         return members[this.random.nextInt(members.length)];
       });
-      [nearest, ...relays]
+      [localPeer, ...relays]
         .filter((peer) => peer !== undefined)
         .forEach((peer) => this.#exchange(daemon, peer));
     });
   }
 
-  #isRelay(daemon: TestDaemon, near: readonly TestDaemon[]): boolean {
-    const incarnations = [daemon, ...near].map(({ self }) => self.incarnation);
+  #isRelay(daemon: TestDaemon, localPeers: readonly TestDaemon[]): boolean {
+    const incarnations = [daemon, ...localPeers].map(({ self }) => self.incarnation);
     return rankByRendezvous('relay', incarnations).slice(0, 2).includes(daemon.self.incarnation);
   }
 
@@ -379,26 +382,26 @@
       if (this.random.next() < this.faults.loss) {
         return;
       }
-      const copies = this.random.next() < this.faults.repetition ? 2 : 1;
+      const copies = this.random.next() < this.faults.duplication ? 2 : 1;
       for (let sent = 0; sent < copies; sent += 1) {
         const dueMs = Date.now() + this.random.next() * this.faults.delayMs;
         const deliver = (): void =>
           to.system.topics[index]?.mergePayload(JSON.parse(text), from.self);
-        this.#late.push({ dueMs, deliver });
+        this.#inFlight.push({ dueMs, deliver });
       }
     });
-    this.#deliverLate();
+    this.#deliverDue();
   }
 
-  #deliverLate(): void {
+  #deliverDue(): void {
     const nowMs = Date.now();
-    const due = this.#late.filter(({ dueMs }) => dueMs <= nowMs);
-    this.#late = this.#late.filter(({ dueMs }) => dueMs > nowMs);
+    const due = this.#inFlight.filter(({ dueMs }) => dueMs <= nowMs);
+    this.#inFlight = this.#inFlight.filter(({ dueMs }) => dueMs > nowMs);
     due.sort((a, b) => a.dueMs - b.dueMs).forEach(({ deliver }) => deliver());
   }
 }
 
-/** Runs a test with a cluster, and gives the clock back whatever happens. */
+/** Runs a test with a cluster and always restores the clock. */
 export const createClusterTest =
   (
     install: (options: { readonly now: number }) => TestClock,
--- a/packages/rollouts/src/testing/traffic.ts
+++ b/packages/rollouts/src/testing/traffic.ts
@@ -1,4 +1,4 @@
-/** Requests for the daemons of a test cluster, answered as the request path would. */
+/** Generates requests for a test cluster and answers them like the request path. */
 import { asId, type VersionId } from '@snipehaven/common';
 import type { AnswerEnding, EvidenceSubject, ModelAssignment } from '../types.js';
 import { CANDIDATE, type TestCluster, type TestDaemon } from './testCluster.js';
@@ -12,7 +12,7 @@
   readonly requestsPerSecond: number;
   readonly teams: number;
   readonly tasks: number;
-  /** How an answer of the version ends. */
+  /** How answers of the version end. */
   readonly getEnd?: (version: string) => AnswerEnding['end'];
   readonly allowsCascade?: boolean;
 }
@@ -22,19 +22,19 @@
 
   readonly #options: TrafficOptions;
 
-  /** Requests owed since the last step. */
-  #owed = 0;
+  /** Requests due but not started yet; fractional. */
+  #dueRequests = 0;
 
-  #requests = 0;
+  #requestCount = 0;
 
-  /** Answers that the candidate gave, and those of them that callers got. */
+  /** Answers given by the candidate, and those of them that were released to callers. */
   candidateAnswers = 0;
 
   candidateReleased = 0;
 
   stableAnswers = 0;
 
-  /** Answers of the candidate that nobody got. */
+  /** Shadow answers of the candidate, which callers do not receive. */
   shadowAnswers = 0;
 
   constructor(cluster: TestCluster, options: TrafficOptions) {
@@ -42,10 +42,10 @@
     this.#options = options;
   }
 
-  /** Starts the requests of a step of the clock, at daemons picked by chance. */
+  /** Starts the requests due in a step of the clock, at random daemons. */
   step(stepMs: number): void {
-    this.#owed += (this.#options.requestsPerSecond * stepMs) / 1_000;
-    for (; this.#owed >= 1; this.#owed -= 1) {
+    this.#dueRequests += (this.#options.requestsPerSecond * stepMs) / 1_000;
+    for (; this.#dueRequests >= 1; this.#dueRequests -= 1) {
       const { daemons, frozen } = this.#cluster;
       const running = daemons.filter(({ self }) => !frozen.has(self.vm));
       const daemon = running[this.#cluster.random.nextInt(running.length)] as TestDaemon;
@@ -54,8 +54,8 @@
   }
 
   async request(daemon: TestDaemon): Promise<void> {
-    this.#requests += 1;
-    const requestId = `${daemon.self.incarnation}-${this.#requests.toString(36)}`;
+    this.#requestCount += 1;
+    const requestId = `${daemon.self.incarnation}-${this.#requestCount.toString(36)}`;
     const { teams, tasks, allowsCascade = true } = this.#options;
     const assignment = daemon.system.assigner.assign('small', {
       isStrict: false,
@@ -66,8 +66,8 @@
       requestId,
     }) as ModelAssignment;
     const subject = {
-      team: `team-${this.#requests % teams}`,
-      task: `task-${Math.floor(this.#requests / teams) % tasks}`,
+      team: `team-${this.#requestCount % teams}`,
+      task: `task-${Math.floor(this.#requestCount / teams) % tasks}`,
       version: assignment.version,
       isEscalated: false,
     };
@@ -104,7 +104,7 @@
     }
   }
 
-  /** As the request path does: the shadow's answer is rated with the stable version's, and no more. */
+  /** Like the request path, only rates the shadow answer as a pair with the stable one. */
   #shadow(
     { system }: TestDaemon,
     subject: EvidenceSubject,
--- a/packages/rollouts/src/types.ts
+++ b/packages/rollouts/src/types.ts
@@ -1,13 +1,13 @@
-/** Evidence and roll-outs as the request path sees them. */
+/** Interface of evidence and roll-outs for the request path. */
 import type { VersionId } from '@snipehaven/common';
 import type { PriorQuality, QualityEvidence } from '@snipehaven/policy';
 
-/** Which answers a piece of evidence is about. */
+/** The group of answers that evidence is collected for. */
 export interface EvidenceSubject {
   readonly team: string;
   readonly task: string;
   readonly version: VersionId;
-  /** An answer that replaced a cheaper one which was rated too low. */
+  /** Whether the answer replaced one of a cheaper version that was rated too low. */
   readonly isEscalated: boolean;
 }
 
@@ -18,14 +18,14 @@
   readonly totalMs: number;
 }
 
-/** An answer for the rater. */
+/** An answer to submit to the rater. */
 export interface AnswerSample {
   readonly requestId: string;
   readonly prompt: string;
   readonly answer: string;
 }
 
-/** Answers of both versions to the same prompt, to be rated as a pair. */
+/** Answers of both versions to the same prompt, rated as a pair. */
 export interface AnswerPair {
   readonly requestId: string;
   readonly prompt: string;
@@ -39,58 +39,67 @@
 }
 
 export interface EvidenceBook {
-  /** Pooled evidence, this daemon's and its peers'. */
+  /** Returns evidence pooled over all daemons. */
   getEvidence(subject: EvidenceSubject, prior: PriorQuality): QualityEvidence;
   recordEnding(subject: EvidenceSubject, ending: AnswerEnding): void;
   recordScore(subject: EvidenceSubject, score: number): void;
-  /** Sends an answer to the rater in the background; its score comes back late or never. */
+  /** Submits an answer to the rater in the background; the score arrives later or never. */
   submitSample(subject: EvidenceSubject, sample: AnswerSample): void;
-  /** Sends both answers of a pair to the rater in the background; counts once both scores are there. */
+  /**
+   * Submits both answers of a pair to the rater in the background; the pair is counted once both
+   * scores have arrived.
+   */
   submitPair(pair: AnswerPair): void;
-  /** Rates in line, for a cascade; throws when the rater does not answer in time. */
+  /** Rates inline, for a cascade; throws if the rater does not answer within the timeout. */
   rateNow(subject: EvidenceSubject, sample: AnswerSample, timeoutMs: number): Promise<number>;
   isRaterUp(): boolean;
 }
 
-/** Who asks for an assignment. */
+/** The request or session that needs an assignment. */
 export interface AssignmentAudience {
   readonly isStrict: boolean;
   readonly allowsExploration: boolean;
   readonly allowsCascade: boolean;
   readonly isSession: boolean;
-  /** Only what may run twice is answered in the shadow too. */
+  /** Only idempotent requests are also sent to the shadow version. */
   readonly isIdempotent?: boolean;
-  /** Makes a repeated question about the same request get the same answer, charged once. */
+  /** Repeated calls for the same request return the same assignment and are charged once. */
   readonly requestId?: string;
-  /** Versions that may answer this request; a candidate that is none of them is not assigned. */
+  /** Versions that may answer this request; a candidate not among them is not assigned. */
   readonly usableVersions?: readonly string[];
 }
 
-/** What a model's roll-out decides for one new session or sessionless request. */
+/** The decision of a model's roll-out for one new session or sessionless request. */
 export interface ModelAssignment {
-  /** The version of the model to use. */
+  /** The version to use. */
   readonly version: VersionId;
-  /** Versions of the model that must not be used instead. */
+  /** Versions of the model that are excluded from the choice. */
   readonly hidden: readonly VersionId[];
   readonly isCandidate: boolean;
-  /** Rate before release; the stable version answers where the score is too low. */
+  /**
+   * Rate the answer before releasing it; if the score is too low, the stable version answers
+   * instead.
+   */
   readonly isGated: boolean;
   readonly stableVersion: VersionId;
   readonly candidateVersion: VersionId;
-  /** The candidate's answer must go to the rater, whatever the share of rated answers is. */
+  /** The answer must be submitted to the rater, whatever fraction of answers is normally rated. */
   readonly shouldRate?: boolean;
-  /** Asked in the shadow of the stable version's answer; both answers are rated as a pair. */
+  /**
+   * The version to run as a shadow of the stable version; both answers are rated as a pair and only
+   * the stable one is returned.
+   */
   readonly shadowVersion?: VersionId;
 }
 
 export interface RolloutAssigner {
-  /** Undefined: no roll-out of the model is under way. */
+  /** Returns undefined if the model has no roll-out. */
   assign(model: string, audience: AssignmentAudience): ModelAssignment | undefined;
-  /** Gives back what the request held of the grant and did not use; to be called when it has ended. */
+  /** Releases the unused part of the request's reservation; call when the request has ended. */
   release?(requestId: string): void;
 }
 
-/** How far a roll-out has come, for operators. */
+/** Progress of a roll-out, for operators. */
 export interface RolloutReport {
   readonly name: string;
   readonly model: string;
@@ -103,7 +112,7 @@
   readonly sharePct: number;
   readonly stageRatings: number;
   readonly minRatings: number;
-  /** Candidate answers started so far, over all daemons that this one heard of. */
+  /** Candidate answers started so far, over all daemons known to this one. */
   readonly exposedCount: number;
   readonly unjudgedCount: number;
   readonly exposureBudget: number;
