--- a/packages/membership/src/constants.ts
+++ b/packages/membership/src/constants.ts
@@ -1,4 +1,4 @@
-/** Bounds and default settings of membership. */
+/** Limits and default settings of membership. */
 import type { MembershipSettings } from './types.js';
 
 export const DEFAULT_MEMBERSHIP_SETTINGS: MembershipSettings = {
@@ -15,30 +15,35 @@
   pauseThresholdMs: 1_000,
 };
 
-/** Records sent along with one message: full ones keep a member within its 6 KB/s. */
+/**
+ * Maximum number of updated records per message. At this limit, a member stays within its 6 KB/s.
+ */
 export const MAX_PIGGYBACK = 6;
-/** Records of differing buckets sent in one message, but always one whole bucket. */
+/** Maximum number of records of differing buckets per message; one whole bucket is always sent. */
 export const MAX_REPAIR_MEMBERS = 64;
 export const BUCKETS = 64;
-/** Repair rounds with one peer when joining or meeting another data centre. */
+/**
+ * Maximum number of repair rounds with one peer when joining or when contacting another data
+ * centre.
+ */
 export const MAX_REPAIR_ROUNDS = 12;
-/** Each record is sent this many times for each power of ten of members, and no more. */
+/** Number of times that each record is sent, per power of ten of members. */
 export const TRANSMITS_PER_LOG_SIZE = 4;
-/** Members asked to probe one that did not answer. */
-export const INDIRECT_HELPERS = 3;
-/** Members of the data centre that reach into each other one. */
+/** Number of members that probe an unresponsive member indirectly. */
+export const INDIRECT_PROBERS = 3;
+/** Number of members of the data centre that exchange with each other data centre. */
 export const RELAYS_PER_DATA_CENTRE = 2;
-/** Members that are told directly when this one leaves. */
+/** Number of members that are notified directly when this one leaves. */
 export const LEAVE_FANOUT = 4;
-/** How far a round's interval is varied, so that members do not fall into step. */
+/** Relative variation of round intervals, which prevents members from synchronising. */
 export const JITTER = 0.1;
-/** Part of the time left to a suspect that the platform's list does not show as live. */
-export const LISTED_GONE_FACTOR = 0.5;
-/** The part of a pause watch's threshold at which it looks. */
+/** Factor for the remaining time of a suspect that the platform's VM list does not show as live. */
+export const UNLISTED_SUSPICION_FACTOR = 0.5;
+/** Number of checks of the pause detector within its threshold. */
 export const PAUSE_CHECKS_PER_THRESHOLD = 4;
 
-/** Part of a lease that its holder does not count on, against clocks of different rates. */
+/** Fraction of a lease that its holder does not rely on, because clocks run at different rates. */
 export const LEASE_MARGIN = 0.1;
 export const LEASE_PREFIX = 'lease/';
-/** Members told in one probe period that another data centre doubts them. */
-export const DOUBTED_PER_PERIOD = 3;
+/** Number of members per probe period that are informed that another data centre suspects them. */
+export const REMOTE_SUSPECTS_PER_PERIOD = 3;
--- a/packages/membership/src/duties.ts
+++ b/packages/membership/src/duties.ts
@@ -1,4 +1,7 @@
-/** Duties that one member of a data centre does for all, by rendezvous hashing over live members. */
+/**
+ * Assignment of duties: one member of a data centre performs a duty for all, chosen by rendezvous
+ * hashing over the live members.
+ */
 import { rankByRendezvous } from '@snipehaven/common';
 import type { Member } from '@snipehaven/protocol';
 import type { MemberRecords } from './records/memberRecords.js';
@@ -30,7 +33,10 @@
     return self.state !== 'left' && this.getOwner(duty).incarnation === self.incarnation;
   }
 
-  /** One member of each other data centre; each member here prefers its own, to spread the load. */
+  /**
+   * Returns one member of each other data centre. Each member prefers a different one, which
+   * spreads the load.
+   */
   listRelays(): readonly Member[] {
     const { self, table } = this.#records;
     const others = table.listLive().filter((member) => member.dataCentre !== self.dataCentre);
--- a/packages/membership/src/exchange/exchanger.ts
+++ b/packages/membership/src/exchange/exchanger.ts
@@ -1,4 +1,4 @@
-/** Push-pull exchanges: each message carries what changed, and each answer does too. */
+/** Push-pull gossip: each message carries recent updates, and so does each answer. */
 import { withTimeout } from '@snipehaven/common';
 import type { Exchange, Member, PeerTransport } from '@snipehaven/protocol';
 import type { HybridClock } from '@snipehaven/timeline';
@@ -16,14 +16,14 @@
   readonly timeoutMs: number;
 }
 
-/** What a message says beyond the changes. */
+/** Optional parts of a message. */
 interface MessageParts {
   readonly members?: readonly Member[];
   readonly topics?: Record<string, unknown>;
   readonly buckets?: readonly number[];
 }
 
-const NOBODY: ReadonlySet<string> = new Set();
+const NO_INCARNATIONS: ReadonlySet<string> = new Set();
 
 export class Exchanger {
   readonly #options: ExchangerOptions;
@@ -32,19 +32,19 @@
     this.#options = options;
   }
 
-  /** Exchanges news with a member; resolves with the answer, already taken in. */
+  /** Exchanges updates with a member. Resolves with the answer after it has been applied. */
   async exchange(peer: Member): Promise<Exchange> {
     const topics = this.#options.topics.collect(peer);
-    const members = this.#listNews(NOBODY, peer);
+    const members = this.#listUpdates(NO_INCARNATIONS, peer);
     return this.#send(peer.address, { members, topics });
   }
 
-  /** Makes contact with whoever listens at the address. */
+  /** Contacts whichever member listens at the address. */
   async contact(address: string): Promise<Exchange> {
-    return this.#send(address, { members: this.#listNews(NOBODY) });
+    return this.#send(address, { members: this.#listUpdates(NO_INCARNATIONS) });
   }
 
-  /** Exchanges the parts in which both differ; resolves with the peer's digest after it. */
+  /** Exchanges the buckets that differ and resolves with the peer's digest afterwards. */
   async repair(peer: Member): Promise<number> {
     const { digests } = this.#options.records.table;
     const pulled = await this.#send(peer.address, { buckets: [...digests.buckets] });
@@ -56,13 +56,13 @@
     return pushed.digest;
   }
 
-  /** Takes in a peer's message and answers it. */
+  /** Applies a peer's message and creates the answer. */
   answer(message: Exchange): Exchange {
     const { records, topics } = this.#options;
-    this.#takeIn(message);
-    const told = new Set([message.from, ...message.members].map((member) => member.incarnation));
+    this.#applyMessage(message);
+    const known = new Set([message.from, ...message.members].map((member) => member.incarnation));
     const members = [
-      ...this.#listNews(told, message.from),
+      ...this.#listUpdates(known, message.from),
       ...this.#listDiffering(message.buckets),
     ];
     return this.#createMessage({
@@ -78,33 +78,36 @@
     const call = transport.getPeer(address).membership.exchange(message);
     const answer = await withTimeout(call, timeoutMs, toPeerTimeout(timeoutMs));
     this.#options.records.confirm(answer.from);
-    this.#takeIn(answer);
+    this.#applyMessage(answer);
     return answer;
   }
 
-  #takeIn(message: Exchange): void {
+  #applyMessage(message: Exchange): void {
     const { records, topics, clock } = this.#options;
     clock.observe(message.at);
-    this.#meet(message.from);
+    this.#recordSender(message.from);
     message.members.forEach((member) => records.merge(member, message.from));
     topics.merge(message.topics, message.from);
-    this.#spareKnown(message.digest);
+    this.#skipKnownBroadcasts(message.digest);
   }
 
   /**
-   * What goes wrong: when many start at once, each record is sent on long after all have it, for minutes at
-   * the full size of messages. One notices control traffic above its budget in a settled network. Equal
-   * digests show that the peer needs none of the news of the living.
+   * When many members start at once, each record would still be sent for minutes after all members
+   * have it, with messages at full size, and control traffic would exceed its budget in a stable
+   * network. An equal digest proves that the peer needs none of the updates about live members.
    */
-  #spareKnown(digest: number): void {
+  #skipKnownBroadcasts(digest: number): void {
     const { table, broadcasts } = this.#options.records;
     if (digest === table.digests.all) {
-      broadcasts.countKnown(table.listLive().length);
+      broadcasts.countAliveAsSent(table.listLive().length);
     }
   }
 
-  /** A message that arrives late may come from a life that has ended: only a first contact proves one. */
-  #meet(from: Member): void {
+  /**
+   * A delayed message may come from an incarnation that has ended, so only the first contact proves
+   * that its sender is alive.
+   */
+  #recordSender(from: Member): void {
     const { records } = this.#options;
     if (records.table.get(from.incarnation)) {
       records.merge(from, from);
@@ -125,12 +128,15 @@
     };
   }
 
-  /** Changes that others may lack, and the doubts about the peer itself, so that it refutes them. */
-  #listNews(told: ReadonlySet<string>, peer?: Member): readonly Member[] {
+  /**
+   * Updates that the peer may not have, and suspicions about the peer itself so that it can refute
+   * them.
+   */
+  #listUpdates(known: ReadonlySet<string>, peer?: Member): readonly Member[] {
     const { records } = this.#options;
     const size = records.table.listLive().length;
-    const news = records.broadcasts.take(MAX_PIGGYBACK, size, told);
-    return peer ? [...new Set([...news, ...records.listDoubts(peer)])] : news;
+    const updates = records.broadcasts.take(MAX_PIGGYBACK, size, known);
+    return peer ? [...new Set([...updates, ...records.listSuspicions(peer)])] : updates;
   }
 
   #listDiffering(buckets: readonly number[] | undefined): readonly Member[] {
--- a/packages/membership/src/exchange/listRepairMembers.ts
+++ b/packages/membership/src/exchange/listRepairMembers.ts
@@ -1,11 +1,12 @@
-/** Chooses the records that repair a difference. */
+/** Selects the records that repair a difference between two views. */
 import type { Member } from '@snipehaven/protocol';
 import { MAX_REPAIR_MEMBERS } from '../constants.js';
 import type { MemberTable } from '../records/memberTable.js';
 
 /**
- * The records of the buckets that differ, the dead too, since the other side may hold them alive. At most
- * so many, but one whole bucket; the rest differs still and comes with the next repair.
+ * Returns the records of the differing buckets, including dead members because the peer may
+ * consider them alive. The number is limited, but at least one whole bucket is returned; the
+ * remaining differences are repaired the next time.
  */
 export const listRepairMembers = (
   table: MemberTable,
--- a/packages/membership/src/exchange/repairer.ts
+++ b/packages/membership/src/exchange/repairer.ts
@@ -1,14 +1,14 @@
-/** Decides when a difference of digests is worth a repair. */
+/** Anti-entropy repair of views whose digests differ. */
 import type { Exchange } from '@snipehaven/protocol';
 import { MAX_REPAIR_ROUNDS } from '../constants.js';
 import type { MemberRecords } from '../records/memberRecords.js';
 import type { Exchanger } from './exchanger.js';
 
 /**
- * What goes wrong: a change is sent along a bounded number of times, so after a cut, a burst or bad luck
- * some members never hear of it. One notices it by views that stay different. Digests show it, and
- * a repair brings over just the parts that differ; while a change is still on its way round, digests differ
- * too, so repairs within a data centre are rationed.
+ * An update is gossiped a bounded number of times, so after a network partition or a burst, or by
+ * chance, some members never receive it and their views stay different. Digests reveal this, and a
+ * repair transfers only the differing buckets. Digests also differ while an update is still being
+ * disseminated, so repairs within a data centre are rate-limited.
  */
 export class Repairer {
   readonly #records: MemberRecords;
@@ -25,17 +25,19 @@
     this.#intervalMs = intervalMs;
   }
 
-  /** Repairs once where the answer shows a difference and the last repair is a while ago. */
-  async repairRationed(answer: Exchange): Promise<void> {
+  /** Repairs once if the answer's digest differs and the minimum interval has passed. */
+  async repairRateLimited(answer: Exchange): Promise<void> {
     const nowMs = performance.now();
-    if (this.#agrees(answer) || nowMs - this.#lastMs < this.#intervalMs) {
+    if (this.#isInSync(answer) || nowMs - this.#lastMs < this.#intervalMs) {
       return;
     }
     this.#lastMs = nowMs;
     await this.#exchanger.repair(answer.from);
   }
 
-  /** Repairs until both agree or get no further, for joining and for healing a cut. */
+  /**
+   * Repairs until both views are equal or make no progress; used for joining and after a partition.
+   */
   async repairFully(answer: Exchange): Promise<void> {
     const { digests } = this.#records.table;
     let theirs = answer.digest;
@@ -48,7 +50,7 @@
     }
   }
 
-  #agrees(answer: Exchange): boolean {
+  #isInSync(answer: Exchange): boolean {
     return answer.digest === this.#records.table.digests.all;
   }
 }
--- a/packages/membership/src/exchange/topics.ts
+++ b/packages/membership/src/exchange/topics.ts
@@ -1,9 +1,9 @@
-/** Payloads of other concerns that ride along with exchanges. */
+/** Payloads of other subsystems that are sent along with exchanges. */
 import { getErrorMessage, type Logger } from '@snipehaven/common';
 import type { Member } from '@snipehaven/protocol';
 import type { GossipTopic } from '../types.js';
 
-/** A topic that throws is logged and passed over: it must not stop membership. */
+/** Errors of a topic are logged and otherwise ignored, so that they cannot stop membership. */
 export class Topics {
   readonly #topics = new Map<string, GossipTopic>();
 
@@ -38,7 +38,10 @@
     try {
       return step();
     } catch (error) {
-      this.#logger.error({ topic: topic.name, error: getErrorMessage(error) }, 'topic failed');
+      this.#logger.error(
+        { topic: topic.name, error: getErrorMessage(error) },
+        'gossip topic failed',
+      );
       return undefined;
     }
   }
--- a/packages/membership/src/lease/elapsedTime.ts
+++ b/packages/membership/src/lease/elapsedTime.ts
@@ -1,9 +1,10 @@
-/** Measures time that passed, for a holder that must not count on more than it has. */
+/** Measures elapsed time for a lease holder, erring on the side of too much. */
 
 /**
- * What goes wrong: a lease outlives its time in the eyes of its holder, because the clock that it looks
- * at stood still: a suspended VM may stop the monotonic clock, and a correction may set back the wall
- * clock. One notices two holders at once. The larger of both errs towards giving up early.
+ * A lease would outlast its duration in the view of its holder if the holder's clock stopped: a
+ * suspended VM may stop the monotonic clock, and a correction may set the wall clock back. There
+ * would be two holders at once. The larger of both times is used, so that the holder rather gives
+ * up too early.
  */
 export const startElapsedTime = (): (() => number) => {
   const startMs = performance.now();
--- a/packages/membership/src/lease/heldLease.ts
+++ b/packages/membership/src/lease/heldLease.ts
@@ -1,16 +1,22 @@
-/** A lease as its holder sees it. */
+/** A lease from the point of view of its holder. */
 import { LEASE_MARGIN } from '../constants.js';
 import type { Lease } from '../types.js';
 import { startElapsedTime } from './elapsedTime.js';
 import type { LeaseRow, VersionedLeaseRow } from './leaseRow.js';
 
-/** The time a holder may count on, from the moment before the write that took or extended the lease. */
+/**
+ * The time that a holder may rely on, counted from before the write that acquired or extended the
+ * lease.
+ */
 export interface LeaseTerm {
   readonly getElapsedMs: () => number;
   readonly durationMs: number;
 }
 
-/** Starts a term; to be called before the write is sent, for others count from when it took effect. */
+/**
+ * Starts a term. Must be called before the write is sent, because other members count from the
+ * moment at which it takes effect.
+ */
 export const startTerm = (durationMs: number): LeaseTerm => ({
   getElapsedMs: startElapsedTime(),
   durationMs,
@@ -32,7 +38,7 @@
 
   readonly #onRelease: ReleaseListener;
 
-  /** Version of the row as this holder last wrote it. */
+  /** Version of the row after this holder's last write. */
   #version: number;
 
   #renewals = 0;
@@ -40,7 +46,7 @@
   #term: LeaseTerm;
 
   /** Terms whose writes may or may not have taken effect. */
-  #unsure: LeaseTerm[] = [];
+  #unconfirmed: LeaseTerm[] = [];
 
   #isEnded = false;
 
@@ -66,16 +72,16 @@
     return this.#renewals;
   }
 
-  /** While it is open which term the table holds, the shortest counts. */
+  /** While it is unknown which term is in the table, the shortest one counts. */
   isHeld(): boolean {
-    if (!this.#isEnded && ![this.#term, ...this.#unsure].every(isRunning)) {
+    if (!this.#isEnded && ![this.#term, ...this.#unconfirmed].every(isRunning)) {
       this.#isEnded = true;
     }
     return !this.#isEnded;
   }
 
   getRemainingMs(): number {
-    return this.isHeld() ? Math.min(...[this.#term, ...this.#unsure].map(getRemainingMs)) : 0;
+    return this.isHeld() ? Math.min(...[this.#term, ...this.#unconfirmed].map(getRemainingMs)) : 0;
   }
 
   async release(): Promise<void> {
@@ -85,31 +91,34 @@
     }
   }
 
-  /** Whether a row is this very lease: only its holder writes under its fence. */
+  /** Whether the row belongs to this lease. Only the holder writes under its fence. */
   isRow(row: VersionedLeaseRow): boolean {
     return row.value?.holder === this.holder && row.value.fence === this.fence;
   }
 
-  /** Notes an extension on its way. */
-  addUnsure(term: LeaseTerm): void {
-    this.#unsure.push(term);
+  /** Registers an extension whose write is in progress. */
+  addUnconfirmed(term: LeaseTerm): void {
+    this.#unconfirmed.push(term);
   }
 
-  /** Takes in the row as an earlier write of this holder left it, whose reply was lost. */
-  catchUp(row: VersionedLeaseRow): void {
+  /** Adopts the version that an earlier write of this holder created, whose reply was lost. */
+  syncWithRow(row: VersionedLeaseRow): void {
     this.#version = row.version;
     this.#renewals = row.value?.renewals ?? this.#renewals;
   }
 
-  /** Takes the extension that is in the table for sure; writes sent before it can't follow it. */
+  /**
+   * Applies an extension that is certainly in the table. Writes sent before it can no longer take
+   * effect.
+   */
   extend(term: LeaseTerm, version: number): void {
     this.#term = term;
-    this.#unsure = [];
+    this.#unconfirmed = [];
     this.#version = version;
     this.#renewals += 1;
   }
 
-  /** Ends it for good: another holds it. */
+  /** Ends the lease for good, because another member holds it. */
   end(): void {
     this.#isEnded = true;
   }
--- a/packages/membership/src/lease/leaseObservations.ts
+++ b/packages/membership/src/lease/leaseObservations.ts
@@ -1,4 +1,4 @@
-/** How long this process has seen others' lease rows unchanged. */
+/** Tracks for how long the lease rows of other holders have been unchanged. */
 
 interface Observation {
   readonly version: number;
@@ -6,14 +6,18 @@
 }
 
 /**
- * What goes wrong: clocks differ between VMs, so an end of the lease written as a time lets a taker with a
- * fast clock in too early. One notices two holders at once. A taker waits the whole duration by its
- * own monotonic clock from when it first saw the row as it is: a holder that lives changes it.
+ * Clocks differ between VMs. If the row stored an expiry time, a member with a fast clock would
+ * take the lease too early and there would be two holders. Instead, a member waits for the whole
+ * duration by its own monotonic clock since it first saw the current version of the row; a live
+ * holder changes the row in the meantime.
  */
 export class LeaseObservations {
   readonly #observations = new Map<string, Observation>();
 
-  /** Whether the row has been at this version for the duration; starts to watch when it is new. */
+  /**
+   * Whether the row has been at this version for the duration. The first call for a version starts
+   * the observation.
+   */
   isUnchangedFor(name: string, version: number, durationMs: number): boolean {
     const nowMs = performance.now();
     const seen = this.#observations.get(name);
--- a/packages/membership/src/lease/leaseRow.ts
+++ b/packages/membership/src/lease/leaseRow.ts
@@ -1,20 +1,20 @@
-/** The row of a lease in the platform's table. */
+/** Row format of a lease in the platform's table. */
 import { LEASE_PREFIX } from '../constants.js';
 import { LeaseRowMalformedError } from '../errors.js';
 
 export interface LeaseRow {
   /** Incarnation of the holder; null after a release. */
   readonly holder: string | null;
-  /** Differs for each write, so that a writer knows its own when the reply was lost. */
+  /** Unique per write, so that a writer recognises its own write after a lost reply. */
   readonly token: string;
-  /** Rises with each change of holder and never falls, also over releases. */
+  /** Increases with each change of holder and never decreases, even after releases. */
   readonly fence: number;
   readonly durationMs: number;
-  /** Counts the holder's extensions. */
+  /** Number of extensions by the holder. */
   readonly renewals: number;
 }
 
-/** A lease row and the version that the table gave it; version 0 and no value when absent. */
+/** A lease row with its version in the table; version 0 and no value if the row does not exist. */
 export interface VersionedLeaseRow {
   readonly version: number;
   readonly value: LeaseRow | undefined;
@@ -35,7 +35,10 @@
   );
 };
 
-/** Checks a row's value; throws `LeaseRowMalformedError` rather than overwrite what it can't read. */
+/**
+ * Validates a row's value. Throws `LeaseRowMalformedError` so that an unreadable row is not
+ * overwritten.
+ */
 export const restoreLeaseRow = (name: string, value: unknown): LeaseRow => {
   if (!isLeaseRow(value)) {
     throw new LeaseRowMalformedError(`the row of lease ${name} is malformed`);
--- a/packages/membership/src/lease/leaseTable.ts
+++ b/packages/membership/src/lease/leaseTable.ts
@@ -1,4 +1,4 @@
-/** Reads and writes lease rows, and finds out what became of a write whose reply was lost. */
+/** Reads and writes lease rows, and determines the outcome of writes whose reply was lost. */
 import {
   PlatformOutcomeUnknownError,
   type TableClient,
@@ -7,10 +7,13 @@
 } from '@snipehaven/platform';
 import { getLeaseKey, restoreLeaseRow, type LeaseRow, type VersionedLeaseRow } from './leaseRow.js';
 
-/** What a writer decides of a row; the rest is added as it is written. */
+/** The row as decided by a writer, without the fields that are added when it is written. */
 export type LeaseDraft = Omit<LeaseRow, 'token'>;
 
-/** `changed`: nothing was written, for the row had another version; it comes along. */
+/**
+ * `changed`: nothing was written because the row had a different version; the current row is
+ * included.
+ */
 export type LeaseWriteResult =
   | { readonly kind: 'written'; readonly version: number }
   | { readonly kind: 'changed'; readonly row: VersionedLeaseRow };
@@ -42,7 +45,7 @@
     return restoreRow(name, row);
   }
 
-  /** Writes the row while it has the version; throws the platform's errors. */
+  /** Writes the row if it still has the given version. Throws the platform's errors. */
   async write(name: string, version: number, draft: LeaseDraft): Promise<LeaseWriteResult> {
     const key = getLeaseKey(name);
     this.#writeCount += 1;
@@ -60,9 +63,10 @@
   }
 
   /**
-   * What goes wrong: the table took the write and the reply was lost; taken for a failure, the lease would
-   * be nobody's until it lapsed. One notices a duty that rests after a slow reply. The row tells: it
-   * carries the token of the write, or still has the version before it, and then the write may yet arrive.
+   * The table may have applied a write whose reply was lost. If this were treated as a failure,
+   * nobody would hold the lease until it expired, and its duty would not be performed. Reading the
+   * row back decides: it carries the token of the write, or it still has the previous version, in
+   * which case the write may yet arrive.
    */
   async #readBack(
     name: string,
--- a/packages/membership/src/lease/tableLeaseKeeper.test.ts
+++ b/packages/membership/src/lease/tableLeaseKeeper.test.ts
@@ -46,7 +46,7 @@
   return lease;
 };
 
-test('is extended under one fence, and only its holder has it', async ({
+test('is extended under the same fence and held by one member only', async ({
   clock,
   first,
   second,
@@ -61,7 +61,7 @@
   assert.ok(lease.isHeld());
 });
 
-test('is free after a release, and the fence rises all the same', async ({ first, second }) => {
+test('is free after a release, and the fence still increases', async ({ first, second }) => {
   const lease = await take(first);
   await lease.release();
   assert.not.ok(lease.isHeld());
@@ -71,10 +71,14 @@
   assert.is((await take(first)).fence, 3);
 });
 
-test('two takers that race: one gets it', async ({ clock, table, first, second }) => {
-  // Symptom: two daemons raise the same roll-out at once.
-  // Sequence: both read a free row, or one whose holder died, and both write.
-  // Cause: a write without a condition replaces the other's.
+test('only one of two concurrent writers acquires the lease', async ({
+  clock,
+  table,
+  first,
+  second,
+}) => {
+  // Guards against two daemons that advance the same roll-out: both read a row that is free or
+  // whose holder died, and both write it. Without a condition, one write replaces the other.
   const atFirst = await Promise.all([acquire(first), acquire(second)]);
   assert.is(atFirst.filter(Boolean).length, 1);
   table.put(`lease/${NAME}`, {
@@ -94,10 +98,10 @@
   );
 });
 
-test('a taker waits the whole time since it first saw the row', async (context) => {
-  // Symptom: two holders at once.
-  // Sequence: the holder extends just before a taker looks; the taker's wall clock is an hour ahead.
-  // Cause: the end of a lease judged by another machine's clock, or from the row's first version.
+test('another member waits for the whole duration since it first saw the row', async (context) => {
+  // Guards against two holders at once: the holder extends just before another member looks, whose
+  // wall clock is an hour ahead. The end of a lease must not be judged by another machine's clock,
+  // nor from the first version of the row.
   const { clock, first, second } = context;
   const lease = await take(first);
   await acquire(second);
@@ -113,10 +117,10 @@
   assert.is((await take(second)).fence, 2);
 });
 
-test('a paused holder has lost it before it acts', async ({ clock, first, second }) => {
-  // Symptom: a daemon that was frozen gives an engine an order under a lease that another holds.
-  // Sequence: it takes the lease, is frozen past its end, another takes over, it wakes up.
-  // Cause: no timer of its own ran in between that would have told it.
+test('a paused holder has lost the lease when it resumes', async ({ clock, first, second }) => {
+  // Guards against a frozen daemon that commands an engine under a lease which another daemon
+  // holds: it acquires the lease, is frozen past its end, another one takes over, and it resumes
+  // without any of its own timers having run in between.
   const lease = await take(first);
   await acquire(second);
   clock.jump(DURATION_MS);
@@ -128,15 +132,15 @@
   assert.is(await acquire(second), other);
 });
 
-test('the holder counts from before its write was sent', async ({
+test('the holder counts the duration from before its write was sent', async ({
   clock,
   table,
   first,
   second,
 }) => {
-  // Symptom: two holders at once.
-  // Sequence: the table takes the write at once and replies when the lease is nearly over.
-  // Cause: the holder counted from the reply, a taker from the write.
+  // Guards against two holders at once: the table applies the write immediately and replies when
+  // the lease is nearly over. The holder must not count from the reply, because others count from
+  // the write.
   table.failNext('slowReply');
   const pending = acquire(first);
   await clock.tickAsync(1);
@@ -147,10 +151,13 @@
   assert.is((await take(second)).fence, 2);
 });
 
-test('a lost reply to the taking write loses no lease', async ({ table, first, second }) => {
-  // Symptom: a free lease is nobody's for its whole duration.
-  // Sequence: the table takes the write and the reply is lost.
-  // Cause: the taker took the silence for a failure.
+test('the lease is acquired even if the reply to the write is lost', async ({
+  table,
+  first,
+  second,
+}) => {
+  // Guards against a free lease that nobody holds for its whole duration: the table applies the
+  // write, the reply is lost, and the writer treats this as a failure.
   table.failNext('lostReply');
   const lease = await take(first);
   assert.is(lease.fence, 1);
@@ -161,10 +168,10 @@
   assert.is((await take(second)).fence, 2);
 });
 
-test('a taking write that arrives late gives nobody a lease unawares', async (context) => {
-  // Symptom: the row names a holder that does not know of it, or one that counts from too late.
-  // Sequence: the write times out, the row read back is as before, then the write takes effect.
-  // Cause: a timeout says nothing about whether the write is still on its way.
+test('a delayed write does not give anyone a lease unnoticed', async (context) => {
+  // Guards against a row that names a holder that does not know it holds the lease, or that counts
+  // from too late: the write times out, the row read back is unchanged, and then the write takes
+  // effect. A timeout does not tell whether the write is still in progress.
   const { clock, table, first, second } = context;
   table.failNext('lateWrite');
   assert.is(await acquire(first), undefined);
@@ -176,10 +183,9 @@
   assert.is(await acquire(second), undefined);
 });
 
-test('an extension that arrives late is recognised as one’s own', async ({ table, first }) => {
-  // Symptom: a healthy holder gives up its lease.
-  // Sequence: an extension times out and arrives later; the next one finds a changed row.
-  // Cause: any changed row was taken for another holder's.
+test('a delayed extension is recognised as the holder’s own', async ({ table, first }) => {
+  // Guards against a healthy holder that gives up its lease: an extension times out and arrives
+  // later, and the next one finds a changed row. A changed row does not imply another holder.
   const lease = await take(first);
   table.failNext('lateWrite');
   assert.is(await acquire(first), lease);
@@ -188,7 +194,11 @@
   assert.is(lease.fence, 1);
 });
 
-test('while the table is away it lasts its time and no longer', async ({ clock, table, first }) => {
+test('while the table is unavailable the lease lasts for its duration and no longer', async ({
+  clock,
+  table,
+  first,
+}) => {
   const lease = await take(first);
   table.setAway(true);
   clock.tick(DURATION_MS / 2);
@@ -200,7 +210,7 @@
   assert.is((await take(first)).fence, 2);
 });
 
-test('a row that cannot be read is left alone', async ({ table, first }) => {
+test('a malformed row is left unchanged', async ({ table, first }) => {
   table.put(`lease/${NAME}`, { holder: 5 });
   assert.is(await acquire(first), undefined);
   assert.equal((await table.scan())[0]?.value, { holder: 5 });
--- a/packages/membership/src/lease/tableLeaseKeeper.ts
+++ b/packages/membership/src/lease/tableLeaseKeeper.ts
@@ -1,4 +1,4 @@
-/** Leases with fencing numbers, kept as rows of the platform's table. */
+/** Leases with fencing numbers, stored as rows of the platform's table. */
 import { getErrorMessage, type Logger } from '@snipehaven/common';
 import { isPlatformError, type TableClient } from '@snipehaven/platform';
 import type { TimelineRecorder } from '@snipehaven/timeline';
@@ -11,7 +11,10 @@
 
 export interface TableLeaseKeeperOptions {
   readonly table: TableClient;
-  /** This life of the process; one keeper for each, for it takes rows of this name for its own. */
+  /**
+   * Incarnation of this process. Each incarnation needs one keeper only, because a keeper treats
+   * rows under this name as its own.
+   */
   readonly incarnation: string;
   readonly timeline: TimelineRecorder;
   readonly logger: Logger;
@@ -26,7 +29,7 @@
 
   readonly #observations = new LeaseObservations();
 
-  /** The last step of each lease's queue: steps of one lease run one after another. */
+  /** Last step of each lease's queue; the steps of one lease run one after another. */
   readonly #queues = new Map<string, Promise<unknown>>();
 
   constructor(options: TableLeaseKeeperOptions) {
@@ -35,8 +38,9 @@
   }
 
   /**
-   * Takes or extends the lease. To take over another's, call again and again: it is watched from the
-   * first call on. While the table is away an own lease that still runs is given back unextended.
+   * Acquires or extends the lease. To take over another member's lease, call this repeatedly: its
+   * row is observed from the first call on. While the table is unavailable, an own lease that has
+   * not expired is returned without an extension.
    */
   async acquire(name: string, durationMs: number): Promise<Lease | undefined> {
     return this.#enqueue(name, () => this.#tryAcquire(name, durationMs));
@@ -48,14 +52,17 @@
       return held ? await this.#extend(held, durationMs) : await this.#take(name, durationMs);
     } catch (error) {
       if (isPlatformError(error) || error instanceof LeaseRowMalformedError) {
-        this.#warn('lease not taken nor extended', name, error);
+        this.#warn('could not acquire or extend lease', name, error);
         return this.#getHeld(name);
       }
       throw error;
     }
   }
 
-  /** The own lease while it runs; a lapsed one is dropped and has to be taken anew. */
+  /**
+   * Returns the own lease unless it has expired. An expired lease is dropped and must be acquired
+   * again.
+   */
   #getHeld(name: string): HeldLease | undefined {
     const held = this.#held.get(name);
     if (held && !held.isHeld()) {
@@ -84,8 +91,9 @@
   }
 
   /**
-   * A row of this very process that it does not hold any more lapsed, or was taken by a write that it gave
-   * up: nobody else acts on it, so it may be taken again, under a higher fence.
+   * A row of this process under which it holds no lease has expired, or was written by a request
+   * that this process had given up on. Nobody else acts under it, so it may be acquired again under
+   * a higher fence.
    */
   #isFree(row: VersionedLeaseRow, name: string): boolean {
     const { value, version } = row;
@@ -106,7 +114,7 @@
 
   async #extend(held: HeldLease, durationMs: number): Promise<Lease | undefined> {
     const term = startTerm(durationMs);
-    held.addUnsure(term);
+    held.addUnconfirmed(term);
     const result = await this.#rewrite(held, held.holder, durationMs);
     if (result.kind === 'written') {
       held.extend(term, result.version);
@@ -122,13 +130,16 @@
       try {
         await this.#rewrite(held, null, 0);
       } catch (error) {
-        // Others wait until it has lapsed, as if this process had died.
-        this.#warn('lease not released', held.name, error);
+        // Other members wait until the lease has expired, as if this process had died.
+        this.#warn('could not release lease', held.name, error);
       }
     });
   }
 
-  /** Writes an own row anew; once more when just an own write of a lost reply had come between. */
+  /**
+   * Rewrites an own row. Retries once if the row changed only because of an earlier own write whose
+   * reply was lost.
+   */
   async #rewrite(
     held: HeldLease,
     holder: string | null,
@@ -145,7 +156,7 @@
     };
     const result = await write();
     if (result.kind === 'changed' && held.isRow(result.row)) {
-      held.catchUp(result.row);
+      held.syncWithRow(result.row);
       return write();
     }
     return result;
--- a/packages/membership/src/membership.test.ts
+++ b/packages/membership/src/membership.test.ts
@@ -8,7 +8,7 @@
 import { RELAYS_PER_DATA_CENTRE } from './constants.js';
 import {
   describeView,
-  listAliveNames,
+  listAliveIncarnations,
   listEvents,
   LocalNetwork,
   type TestMember,
@@ -18,9 +18,11 @@
 
 const START_MS = 1_700_000_000_000;
 const SETTLE_MS = 10_000;
-/** Time in which a death is found, suspected and declared in the tests' small data centres. */
+/**
+ * Time in which a death is detected, suspected and declared in the small data centres of the tests.
+ */
 const DEATH_MS = 12_000;
-/** Time in which a suspect of another data centre is given up everywhere. */
+/** Time in which a suspect of another data centre is declared dead everywhere. */
 const REMOTE_DEATH_MS = 60_000;
 
 interface Context {
@@ -43,7 +45,7 @@
 const expectAlive = (members: readonly TestMember[], names: readonly string[]): void => {
   const wanted = [...names].sort().join(' ');
   members.forEach((member) =>
-    assert.is(listAliveNames(member), wanted, `view of ${member.address}`),
+    assert.is(listAliveIncarnations(member), wanted, `view of ${member.address}`),
   );
 };
 
@@ -53,8 +55,8 @@
 const namesOf = (members: readonly TestMember[]): readonly string[] =>
   members.map((member) => member.membership.self.incarnation);
 
-/** Takes a member out of everyone's reach until `x0` suspects it. */
-const cutUntilSuspected = async (context: Context, vm: string): Promise<void> => {
+/** Makes a member unreachable until `x0` suspects it. */
+const isolateUntilSuspected = async (context: Context, vm: string): Promise<void> => {
   const { clock, network } = context;
   network.isCut = (from, to) => from === vm || to === vm;
   const isSuspected = (): boolean => listEvents(network.get('x0'), 'memberSuspected').length > 0;
@@ -68,7 +70,7 @@
   (event: TimelineEvent): boolean =>
     event.detail.member === incarnation;
 
-test('all learn of all in three data centres, and nobody is suspected', async (context) => {
+test('members of three data centres learn of all others, and none is suspected', async (context) => {
   const { clock, network } = context;
   network.joinAll(['x', 'y', 'z'], 3);
   await clock.tickAsync(60_000);
@@ -95,10 +97,10 @@
     .forEach(({ membership }) => assert.is(membership.getDutyOwner('load').vm, second));
 });
 
-test('a killed member is found dead, and one that leaves is not even suspected', async (context) => {
-  // Symptom: requests and duties go to a daemon that is gone.
-  // Sequence: x1 is killed; later x2 leaves with a word.
-  // Cause: a killed process says nothing; only probes without an answer tell.
+test('a killed member is declared dead, and one that leaves is never suspected', async (context) => {
+  // Guards against requests and duties going to a daemon that has ended. x1 is killed, and x2
+  // leaves later with a notification. A killed process sends nothing, so only unanswered probes
+  // reveal it.
   const { clock, network } = context;
   network.joinAll(['x', 'y'], 4);
   await clock.tickAsync(SETTLE_MS);
@@ -117,10 +119,10 @@
   assert.is(network.get('y0').membership.getMember('x2#1')?.state, 'left');
 });
 
-test('a member that one other cannot reach is not suspected', async (context) => {
-  // Symptom: a healthy daemon is suspected over and over.
-  // Sequence: the path between x0 and x1 fails; both reach x2 and x3.
-  // Cause: one failed probe says as much of the prober's path as of the member.
+test('a member that only one other member cannot reach is not suspected', async (context) => {
+  // Guards against repeated suspicion of a healthy daemon. The path between x0 and x1 fails while
+  // both can reach x2 and x3, and a failed probe may be caused by the prober's path as well as by
+  // the member.
   const { clock, network } = context;
   network.joinAll(['x'], 4);
   await clock.tickAsync(SETTLE_MS);
@@ -129,14 +131,14 @@
   assert.is(countEvents(network, 'memberSuspected'), 0);
 });
 
-test('a false suspicion is refuted by the member alone', async (context) => {
-  // Symptom: a healthy daemon loses its duties.
-  // Sequence: x1 is cut off for a moment and is suspected; it comes back before its time is up.
-  // Cause: without a refutation the suspicion runs out although the member answers again.
+test('a member refutes a false suspicion itself', async (context) => {
+  // Guards against a healthy daemon losing its duties. x1 is partitioned for a moment, is
+  // suspected, and returns before the suspicion expires. Without a refutation, the suspicion
+  // expires although the member answers again.
   const { clock, network } = context;
   network.joinAll(['x'], 4);
   await clock.tickAsync(SETTLE_MS);
-  await cutUntilSuspected(context, 'x1');
+  await isolateUntilSuspected(context, 'x1');
   network.isCut = () => false;
   await clock.tickAsync(SETTLE_MS);
   expectAlive(network.members, namesOf(network.members));
@@ -146,12 +148,11 @@
   assert.ok((seen?.refutation ?? 0) > 0);
 });
 
-test('a data centre that was cut off joins again, and nobody there dies of it', async (context) => {
-  // Symptom: after a cut heals, a healthy data centre buries its own members and moves all duties; or the
-  // halves never meet again.
-  // Sequence: the only seed dies; y is cut off until each side holds the other dead; the cut heals; y hears
-  // that it is dead.
-  // Cause: records of the dead beat those of the living, and the dead are not probed.
+test('a partitioned data centre rejoins, and none of its members is declared dead', async (context) => {
+  // Guards against a healthy data centre that declares its own members dead and moves all duties
+  // after a partition heals, and against partitions that never merge again. The only seed dies, y
+  // is partitioned until each side considers the other dead, and then y receives the reports of its
+  // death. Records of dead members supersede those of live ones, and dead members are not probed.
   const { clock, network } = context;
   network.joinAll(['x', 'y', 'z'], 3);
   await clock.tickAsync(SETTLE_MS);
@@ -167,18 +168,17 @@
   await clock.tickAsync(REMOTE_DEATH_MS);
   const live = [...inside, ...outside];
   expectAlive(live, namesOf(live));
-  const doubtsInside = inside
+  const suspicionsInside = inside
     .flatMap((member) =>
       ['memberSuspected', 'memberDied'].flatMap((type) => listEvents(member, type as EventType)),
     )
     .filter((event) => event.detail.memberDataCentre === 'y');
-  assert.is(doubtsInside.length, 0);
+  assert.is(suspicionsInside.length, 0);
 });
 
-test('a cut that two data centres have between them alone kills nobody', async (context) => {
-  // Symptom: x and y hold each other dead while z reaches both.
-  // Sequence: the path between x and y fails for minutes.
-  // Cause: relays judged by their own path alone.
+test('a partition between only two of three data centres leads to no suspicion', async (context) => {
+  // Guards against x and y considering each other dead while z reaches both, when the path between
+  // them fails for minutes and relays judge by their own path alone.
   const { clock, network } = context;
   network.joinAll(['x', 'y', 'z'], 3);
   await clock.tickAsync(SETTLE_MS);
@@ -188,24 +188,24 @@
   assert.is(countEvents(network, 'memberSuspected'), 0);
 });
 
-test('a new VM at a dead one’s address ends the old life', async (context) => {
-  // Symptom: two live members at one address; records of the old life are never adopted.
-  // Sequence: x1 is killed and at once a new VM starts at its address, also known to y.
-  // Cause: the new process answers the probes meant for the old one.
+test('a new VM at the address of a dead one ends the old incarnation', async (context) => {
+  // Guards against two live members at one address, so that records of the old incarnation are
+  // never taken over. x1 is killed, and a new VM immediately starts at its address, which y knows
+  // too and which answers the probes meant for the old process.
   const { clock, network } = context;
   network.joinAll(['x', 'y'], 3);
   await clock.tickAsync(SETTLE_MS);
   network.halt(network.get('x1'));
-  network.join({ vm: 'x9', dataCentre: 'x', address: 'x1', life: 2, seeds: ['y0'] });
+  network.join({ vm: 'x9', dataCentre: 'x', address: 'x1', incarnationNumber: 2, seeds: ['y0'] });
   await clock.tickAsync(SETTLE_MS);
   const live = network.members.filter((member) => member.membership.self.incarnation !== 'x1#1');
   expectAlive(live, namesOf(live));
 });
 
-test('old gossip does not revive the dead, and they are forgotten in the end', async (context) => {
-  // Symptom: a daemon that died long ago is alive again on some members.
-  // Sequence: x3 stands still while x1 dies; x3 goes on and tells that x1 is alive.
-  // Cause: old records look like news to those who know nothing.
+test('outdated gossip does not revive dead members, which are eventually forgotten', async (context) => {
+  // Guards against a daemon that died long ago and is considered alive again. x3 is frozen while x1
+  // dies; x3 resumes and gossips that x1 is alive. Old records look like updates to members that
+  // know nothing.
   const { clock, network } = context;
   network.joinAll(['x'], 4);
   await clock.tickAsync(SETTLE_MS);
@@ -222,10 +222,10 @@
   rest.forEach((member) => assert.is(member.membership.getMember('x1#1'), undefined));
 });
 
-test('a member that stood still is taken back under the same life', async (context) => {
-  // Symptom: a daemon serves, but its peers hold it dead for good.
-  // Sequence: x1 is frozen until it is declared dead, and goes on.
-  // Cause: nobody probes the dead, and a record of a death beats the member's old word.
+test('a member that was frozen rejoins under the same incarnation', async (context) => {
+  // Guards against a running daemon that its peers consider dead for good. x1 is frozen until it is
+  // declared dead and then resumes. Dead members are not probed, and a record of the death
+  // supersedes the member's previous record.
   const { clock, network } = context;
   network.joinAll(['x'], 3);
   await clock.tickAsync(SETTLE_MS);
@@ -237,10 +237,10 @@
   expectAlive(network.members, namesOf(network.members));
 });
 
-test('a process that stood still blames nobody and speaks for itself', async (context) => {
-  // Symptom: a daemon wakes up and suspects several healthy others at once.
-  // Sequence: answers are late for a moment, and with probes under way all members are frozen a minute.
-  // Cause: timers that fire late look like peers that did not answer.
+test('a process that was frozen suspects nobody and refutes its own death', async (context) => {
+  // Guards against a resuming daemon that suspects several healthy members at once. Answers are
+  // late for a moment, and all members are frozen for a minute while probes are in progress, so
+  // that late timers look like unanswered probes.
   const { clock, network } = context;
   network.joinAll(['x', 'y'], 3);
   await clock.tickAsync(SETTLE_MS);
@@ -259,14 +259,14 @@
   expectAlive(network.members, namesOf(network.members));
 });
 
-test('a suspect gets back the time for which its judge stood still', async (context) => {
-  // Symptom: a daemon wakes up and buries a healthy other.
-  // Sequence: x1 is out of reach and suspected; all are frozen for a minute; x1 is in reach again.
-  // Cause: the suspect's time went by while nobody could hear its refutation.
+test('a suspicion is extended by the time for which the prober was frozen', async (context) => {
+  // Guards against a resuming daemon that declares a healthy member dead. x1 is unreachable and
+  // suspected, all members are frozen for a minute, and x1 becomes reachable again. The suspicion
+  // would expire while nobody could receive the refutation.
   const { clock, network } = context;
   network.joinAll(['x'], 4);
   await clock.tickAsync(SETTLE_MS);
-  await cutUntilSuspected(context, 'x1');
+  await isolateUntilSuspected(context, 'x1');
   clock.jump(60_000);
   await clock.tickAsync(1_000);
   network.isCut = () => false;
@@ -276,10 +276,10 @@
   assert.is(buried.filter(isAbout('x1#1')).length, 0);
 });
 
-test('after a very long pause a member starts over instead of spreading old views', async (context) => {
-  // Symptom: daemons that died and were forgotten are alive again everywhere for a while.
-  // Sequence: x0 is frozen for longer than the dead are remembered; it goes on and tells what it knew.
-  // Cause: nobody remembers any more that its records are out of date.
+test('after a very long pause a member forgets its view instead of gossiping it', async (context) => {
+  // Guards against dead and forgotten daemons that become alive again everywhere for a while. x0 is
+  // frozen for longer than dead members are remembered, resumes and gossips its records, and no
+  // member remembers that they are outdated.
   const { clock, network } = context;
   network.joinAll(['x'], 3);
   await clock.tickAsync(SETTLE_MS);
@@ -301,10 +301,10 @@
     state: 'live' as const,
   }));
 
-test('the list of VMs brings members together and never removes one', async (context) => {
-  // Symptom: a healthy daemon disappears since the platform's list lacks it.
-  // Sequence: two members without seeds meet through the list; then the list loses one and shows a ghost.
-  // Cause: the list lags and is not the truth.
+test('the VM list helps members find each other and never removes one', async (context) => {
+  // Guards against a healthy daemon that is removed because the platform's list lacks it. Two
+  // members without seeds find each other through the list; then the list loses one of them and
+  // shows a VM that does not exist. The list lags and is not authoritative.
   const { clock, network } = context;
   let listed = listVms('x0', 'x1');
   const vmList = { list: async () => listed };
@@ -317,7 +317,7 @@
   assert.is(countEvents(network, 'memberSuspected') + countEvents(network, 'memberDied'), 0);
 });
 
-test('a late joiner learns of all from one seed at once', async ({ clock, network }) => {
+test('a late joiner learns of all members from one seed at once', async ({ clock, network }) => {
   network.joinAll(['x', 'y', 'z'], 5);
   await clock.tickAsync(120_000);
   const late = network.join({ vm: 'z9', dataCentre: 'z', seeds: ['x3'] });
@@ -325,11 +325,10 @@
   expectAlive([late], namesOf(network.members));
 });
 
-test('what changed during a short cut is known everywhere after it', async (context) => {
-  // Symptom: some daemons never count on a new one.
-  // Sequence: x7, no relay, joins while y is cut off, too shortly for anyone to be given up; the news has
-  // made its rounds when the cut heals.
-  // Cause: news are sent along a bounded number of times.
+test('updates during a short partition are known everywhere after it', async (context) => {
+  // Guards against daemons that never learn of a new one. x7, which is not a relay, joins while y
+  // is partitioned, too briefly for anyone to be declared dead. Updates are gossiped a bounded
+  // number of times, so this one has been disseminated when the partition heals.
   const { clock, network } = context;
   network.joinAll(['x', 'y'], 5);
   await clock.tickAsync(SETTLE_MS);
@@ -343,10 +342,13 @@
   expectAlive(network.members, namesOf(network.members));
 });
 
-test('an answer carries the news, but nothing that the asker knows', async ({ clock, network }) => {
+test('an answer carries updates, but nothing that the sender already knows', async ({
+  clock,
+  network,
+}) => {
   const { membership } = network.join({ vm: 'x0', dataCentre: 'x' });
   await clock.tickAsync(1);
-  const [asker, told, later] = ['x1', 'x2', 'x3'].map((vm) => ({
+  const [asker, mentioned, later] = ['x1', 'x2', 'x3'].map((vm) => ({
     ...membership.self,
     vm,
     address: vm,
@@ -358,11 +360,11 @@
     const answer = await membership.handlers.exchange(message);
     return answer.members.map((member) => member.vm).sort();
   };
-  assert.equal(await ask(asker, [told]), []);
+  assert.equal(await ask(asker, [mentioned]), []);
   assert.equal(await ask(later, []), ['x1', 'x2']);
 });
 
-test('payloads of topics ride along, and a topic that throws stops nothing', async (context) => {
+test('topic payloads are exchanged, and a topic that throws stops nothing', async (context) => {
   const { clock, network } = context;
   const heard = new Set<string>();
   const topic = {
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -1,9 +1,9 @@
-/** Membership of one daemon: who else is there, in all data centres. */
+/** Membership of one daemon: which other daemons exist, in all data centres. */
 import { getErrorMessage, type Logger } from '@snipehaven/common';
 import type { Exchange, Member, MembershipHandlers } from '@snipehaven/protocol';
 import {
   DEFAULT_MEMBERSHIP_SETTINGS,
-  DOUBTED_PER_PERIOD,
+  REMOTE_SUSPECTS_PER_PERIOD,
   LEAVE_FANOUT,
   PAUSE_CHECKS_PER_THRESHOLD,
   RELAYS_PER_DATA_CENTRE,
@@ -13,7 +13,7 @@
 import { Exchanger } from './exchange/exchanger.js';
 import { Repairer } from './exchange/repairer.js';
 import { Topics } from './exchange/topics.js';
-import { PauseWatch } from './pauseWatch.js';
+import { PauseDetector } from './pauseDetector.js';
 import { Listeners } from './records/listeners.js';
 import { MemberRecords } from './records/memberRecords.js';
 import { isLive } from './records/precedence.js';
@@ -31,7 +31,7 @@
 } from './types.js';
 
 export class Membership implements MembershipView {
-  /** What this member answers to others. */
+  /** Handlers for requests of other members. */
   readonly handlers: MembershipHandlers;
 
   readonly #options: MembershipOptions;
@@ -48,7 +48,7 @@
 
   readonly #pauses: Listeners<number>;
 
-  readonly #pauseWatch: PauseWatch;
+  readonly #pauseDetector: PauseDetector;
 
   readonly #exchanger: Exchanger;
 
@@ -79,7 +79,7 @@
     this.#duties = new Duties(records);
     this.#topics = new Topics(options.topics ?? [], logger);
     this.#pauses = new Listeners(logger);
-    this.#pauseWatch = this.#createPauseWatch();
+    this.#pauseDetector = this.#createPauseDetector();
     this.#exchanger = new Exchanger({
       records,
       topics: this.#topics,
@@ -91,7 +91,7 @@
     this.#prober = new Prober({
       records,
       exchanger: this.#exchanger,
-      pauseWatch: this.#pauseWatch,
+      pauseDetector: this.#pauseDetector,
       transport,
       random,
       settings,
@@ -124,39 +124,42 @@
     return this.#records.self;
   }
 
-  /** Starts probing and joins through the seeds; does not wait until it has joined. */
+  /** Starts probing and joins through the seeds, without waiting until it has joined. */
   start(): void {
     this.#isRunning = true;
-    this.#pauseWatch.start();
+    this.#pauseDetector.start();
     this.#timers.start();
-    this.#launch(this.#healer.run());
+    this.#runDetached(this.#healer.run());
   }
 
-  /** Stops at once, as if the process had died. */
+  /** Stops immediately, as if the process had died. */
   stop(): void {
     this.#isRunning = false;
     this.#timers.stop();
-    this.#pauseWatch.stop();
+    this.#pauseDetector.stop();
   }
 
-  /** Tells others that this member leaves for good, then stops. */
+  /** Announces that this member leaves for good, then stops. */
   async leave(): Promise<void> {
     this.#records.leave();
-    const told = [
+    const recipients = [
       ...sampleMembers(this.#listLocalOthers(), LEAVE_FANOUT, this.#options.random),
       ...this.listRelays(),
     ];
-    await Promise.allSettled(told.map((member) => this.#exchanger.exchange(member)));
+    await Promise.allSettled(recipients.map((member) => this.#exchanger.exchange(member)));
     this.stop();
   }
 
-  /** Exchanges news with all of the data centre at once; for rare news that cannot wait its turn. */
+  /**
+   * Exchanges updates with all members of the data centre at once, for rare updates that cannot
+   * wait for the regular exchanges.
+   */
   async spread(): Promise<void> {
-    const told = this.#listLocalOthers();
-    await Promise.allSettled(told.map((member) => this.#exchanger.exchange(member)));
+    const recipients = this.#listLocalOthers();
+    await Promise.allSettled(recipients.map((member) => this.#exchanger.exchange(member)));
   }
 
-  /** Adds a concern whose payload rides along with exchanges. */
+  /** Registers a topic whose payload is sent along with exchanges. */
   registerTopic(topic: GossipTopic): void {
     this.#topics.register(topic);
   }
@@ -210,7 +213,7 @@
     if (!this.#isRunning) {
       throw new MembershipStoppedError(`${this.self.incarnation} is not running`);
     }
-    this.#pauseWatch.check();
+    this.#pauseDetector.check();
     return this.#exchanger.answer(message);
   }
 
@@ -218,12 +221,12 @@
     return new Repairer(this.#records, this.#exchanger, this.#settings.repairIntervalMs);
   }
 
-  #createPauseWatch(): PauseWatch {
+  #createPauseDetector(): PauseDetector {
     const { pauseThresholdMs } = this.#settings;
-    return new PauseWatch(
+    return new PauseDetector(
       pauseThresholdMs,
       pauseThresholdMs / PAUSE_CHECKS_PER_THRESHOLD,
-      (pausedMs) => this.#recover(pausedMs),
+      (pausedMs) => this.#recoverFromPause(pausedMs),
     );
   }
 
@@ -237,7 +240,7 @@
     };
     const handlers = {
       probe: () => this.#runProbes(),
-      relay: () => this.#launch(this.#relayRounds.run()),
+      relay: () => this.#runDetached(this.#relayRounds.run()),
       heal: () => this.#runHealing(),
       vmList: () => this.#runVmList(),
     };
@@ -246,49 +249,52 @@
     );
   }
 
-  /** Rounds run on beside each other: a slow answer must not hold up the next round. */
-  #launch(round: Promise<unknown>): void {
+  /** Rounds run concurrently, so that a slow answer does not delay the next round. */
+  #runDetached(round: Promise<unknown>): void {
     round.catch((error: unknown) =>
       this.#logger.error({ error: getErrorMessage(error) }, 'membership round failed'),
     );
   }
 
   #runProbes(): void {
-    this.#pauseWatch.check();
-    this.#vmListRounds?.hastenUnlisted();
-    this.#records.buryExpired();
+    this.#pauseDetector.check();
+    this.#vmListRounds?.shortenUnlistedSuspicions();
+    this.#records.declareExpiredDead();
     this.#records.table.forgetEnded(this.#settings.forgetAfterMs);
-    this.#listProbed().forEach((member) =>
-      this.#launch(this.#prober.probe(member, this.#repairer)),
+    this.#listProbeTargets().forEach((member) =>
+      this.#runDetached(this.#prober.probe(member, this.#repairer)),
     );
-    if (this.#isAlone()) {
-      this.#launch(this.#healer.run());
+    if (this.#hasNoPeers()) {
+      this.#runDetached(this.#healer.run());
     }
   }
 
-  /** The next of the data centre in turn, and those that must hear of doubts elsewhere. */
-  #listProbed(): ReadonlySet<Member> {
+  /**
+   * The next member of the data centre in turn, and members that have to learn that another data
+   * centre suspects them.
+   */
+  #listProbeTargets(): ReadonlySet<Member> {
     const next = this.#order.next(this.#listLocalOthers());
-    const doubted = this.#records.nextDoubted(DOUBTED_PER_PERIOD);
-    return new Set(next ? [next, ...doubted] : doubted);
+    const suspects = this.#records.nextRemoteSuspects(REMOTE_SUSPECTS_PER_PERIOD);
+    return new Set(next ? [next, ...suspects] : suspects);
   }
 
   #runHealing(): void {
     const healers = this.rankLocal('heal').slice(0, RELAYS_PER_DATA_CENTRE);
-    if (!this.#isAlone() && healers.includes(this.self)) {
-      this.#launch(this.#healer.run());
+    if (!this.#hasNoPeers() && healers.includes(this.self)) {
+      this.#runDetached(this.#healer.run());
     }
   }
 
   #runVmList(): void {
     if (this.#vmListRounds && this.ownsDuty('vmList')) {
-      this.#launch(this.#vmListRounds.run());
+      this.#runDetached(this.#vmListRounds.run());
     } else {
       this.#vmListRounds?.forgetList();
     }
   }
 
-  #isAlone(): boolean {
+  #hasNoPeers(): boolean {
     return this.#records.listOthers().length === 0;
   }
 
@@ -297,22 +303,23 @@
   }
 
   /**
-   * What goes wrong: while this process was frozen others gave it up, and it took their silence for
-   * theirs. One notices a daemon that serves but is dead to its peers. It speaks for itself at
-   * once, gives suspects the lost time back, and drops a view that is too old to be spread.
+   * While this process was frozen, other members may have declared it dead, and its own unanswered
+   * probes do not show that they were. It would keep serving requests while its peers consider it
+   * dead. After a pause it refutes at once, extends all suspicions by the lost time, and discards
+   * its view if that is too old to be gossiped.
    */
-  #recover(pausedMs: number): void {
-    this.#logger.warn({ pausedMs }, 'the process stood still');
+  #recoverFromPause(pausedMs: number): void {
+    this.#logger.warn({ pausedMs }, 'process was paused');
     this.#records.suspicions.extendAll(pausedMs);
     if (pausedMs > this.#settings.forgetAfterMs / 2) {
-      this.#startOver();
+      this.#forgetOthers();
     }
     this.#records.refute();
-    this.#pauses.tell(pausedMs);
+    this.#pauses.notify(pausedMs);
   }
 
-  #startOver(): void {
-    this.#healer.remember(this.listMembers().map((member) => member.address));
-    this.#records.startOver();
+  #forgetOthers(): void {
+    this.#healer.setFormerAddresses(this.listMembers().map((member) => member.address));
+    this.#records.forgetOthers();
   }
 }
--- a/packages/membership/src/pauseWatch.ts
+++ b/packages/membership/src/pauseDetector.ts
@@ -1,12 +1,12 @@
-/** Notices that the process stood still. */
+/** Detects that the process was paused. */
 
 /**
- * What goes wrong: a frozen process (SIGSTOP, a stalled host, a blocked event loop) wakes up, finds all its
- * timers due and takes its own silence for that of others: it would suspect whomever it was probing. One
- * notices it by a member that suspects several others at the same moment. Everything that judges by
- * time asks `check` first, whichever timer the runtime fires first.
+ * When a frozen process (SIGSTOP, a stalled host, a blocked event loop) resumes, all of its timers
+ * are due at once. It would mistake its own pause for missing answers and suspect every member that
+ * it was probing: several at the same moment. Code that judges by elapsed time calls `check` first,
+ * whichever timer the runtime fires first.
  */
-export class PauseWatch {
+export class PauseDetector {
   readonly #thresholdMs: number;
 
   readonly #intervalMs: number;
@@ -36,7 +36,10 @@
     this.#timer = undefined;
   }
 
-  /** Pauses seen so far: what was begun under another count can't be judged by time. */
+  /**
+   * Number of pauses so far. An operation that started under a different count cannot be judged by
+   * elapsed time.
+   */
   get count(): number {
     return this.#count;
   }
--- a/packages/membership/src/records/broadcastQueue.ts
+++ b/packages/membership/src/records/broadcastQueue.ts
@@ -1,4 +1,4 @@
-/** Changed records on their way to others, each sent along a bounded number of times. */
+/** Queue of updated records to be gossiped, each a bounded number of times. */
 import type { Member } from '@snipehaven/protocol';
 import { TRANSMITS_PER_LOG_SIZE } from '../constants.js';
 
@@ -13,23 +13,23 @@
 export class BroadcastQueue {
   readonly #broadcasts = new Map<string, Broadcast>();
 
-  /** Queues a record in place of an older one of the same incarnation. */
+  /** Queues a record and replaces an older one of the same incarnation. */
   add(member: Member): void {
     this.#broadcasts.set(member.incarnation, { member, sentCount: 0 });
   }
 
-  /** Takes the least sent records that the receiver did not just tell of itself. */
-  take(limit: number, size: number, told: ReadonlySet<string>): readonly Member[] {
+  /** Takes the records sent least often, except those that the receiver has just sent itself. */
+  take(limit: number, size: number, known: ReadonlySet<string>): readonly Member[] {
     const taken = [...this.#broadcasts.values()]
-      .filter((broadcast) => !told.has(broadcast.member.incarnation))
+      .filter((broadcast) => !known.has(broadcast.member.incarnation))
       .sort((a, b) => a.sentCount - b.sentCount)
       .slice(0, limit);
     taken.forEach((broadcast) => this.#countSend(broadcast, size));
     return taken.map((broadcast) => broadcast.member);
   }
 
-  /** Counts records of the living as sent to a peer whose digest shows that it knows them all. */
-  countKnown(size: number): void {
+  /** Counts records of live members as sent to a peer whose digest proves that it has them. */
+  countAliveAsSent(size: number): void {
     [...this.#broadcasts.values()]
       .filter((broadcast) => broadcast.member.state === 'alive')
       .forEach((broadcast) => this.#countSend(broadcast, size));
--- a/packages/membership/src/records/bucketDigests.ts
+++ b/packages/membership/src/records/bucketDigests.ts
@@ -1,4 +1,4 @@
-/** Digests over a set of records that change by one record at a time. */
+/** Incremental digests over a set of records. */
 import { createHash } from 'node:crypto';
 import type { Member } from '@snipehaven/protocol';
 import { BUCKETS } from '../constants.js';
@@ -7,25 +7,25 @@
 const hashText = (text: string): number =>
   createHash('sha256').update(text).digest().readUInt32LE();
 
-/** The bucket that an incarnation's record falls into. */
+/** Returns the bucket of an incarnation's record. */
 export const getBucket = (incarnation: string): number => hashText(incarnation) % BUCKETS;
 
-/** Suspicion is left out: it passes, and members need not agree on it. */
+/** Suspicion is excluded, because it is temporary and members need not agree on it. */
 const hashRecord = (member: Member): number =>
   hashText(`${member.incarnation}\u0000${member.refutation}\u0000${member.address}`);
 
-/** Exclusive or: order does not matter, and taking the same in twice takes it out. */
+/** Exclusive or: independent of the order, and applying the same record twice removes it. */
 // eslint-disable-next-line no-bitwise
 const combine = (a: number, b: number): number => (a ^ b) >>> 0;
 
 /**
- * Only live members count: the dead are forgotten at different times, and digests that held them would
- * differ until all had forgotten.
+ * Only live members are included. Dead members are forgotten at different times, so digests that
+ * included them would differ until all members had forgotten them.
  */
 export class BucketDigests {
   readonly #buckets: number[] = Array.from({ length: BUCKETS }, () => 0);
 
-  /** Takes one record in or, called again with the same, out. */
+  /** Adds a record or, if called again with the same one, removes it. */
   toggle(member: Member | undefined): void {
     if (!member || !isLive(member)) {
       return;
@@ -42,7 +42,7 @@
     return this.#buckets;
   }
 
-  /** Indices of the buckets that differ from the other's. */
+  /** Returns the indices of the buckets that differ. */
   listDiffering(others: readonly number[]): readonly number[] {
     return this.#buckets.flatMap((digest, index) => (digest === others[index] ? [] : [index]));
   }
--- a/packages/membership/src/records/listeners.ts
+++ b/packages/membership/src/records/listeners.ts
@@ -1,4 +1,4 @@
-/** Functions that want to hear of something. */
+/** A set of event listeners. */
 import { getErrorMessage, type Logger } from '@snipehaven/common';
 
 export class Listeners<Event> {
@@ -10,7 +10,7 @@
     this.#logger = logger;
   }
 
-  /** Adds a listener; returns the function that removes it. */
+  /** Adds a listener and returns the function that removes it. */
   add(listener: (event: Event) => void): () => void {
     this.#listeners.add(listener);
     return () => {
@@ -18,8 +18,8 @@
     };
   }
 
-  /** Tells all; one that throws does not keep the others from hearing. */
-  tell(event: Event): void {
+  /** Calls all listeners, even if one of them throws. */
+  notify(event: Event): void {
     this.#listeners.forEach((listener) => {
       try {
         listener(event);
--- a/packages/membership/src/records/memberRecords.test.ts
+++ b/packages/membership/src/records/memberRecords.test.ts
@@ -19,7 +19,7 @@
 
 const test = suite('memberRecords');
 
-test('only a higher refutation brings back the dead, and nothing those who left', () => {
+test('only a higher refutation revives a dead member, and nothing revives one that left', () => {
   const records = createRecords(near, far);
   records.merge({ ...near, state: 'dead' }, near);
   records.merge(near, near);
@@ -31,7 +31,7 @@
   assert.is(getState(records, 'x1'), 'left');
 });
 
-test('a death is believed near the member, suspected from afar, and of one’s own only passed on', () => {
+test('a death is accepted from a nearby data centre, suspected from a third one, and only relayed for local members', () => {
   const third = createMember('z0');
   const records = createRecords(near, far, third);
   records.merge({ ...third, state: 'dead' }, far);
@@ -40,13 +40,13 @@
   assert.is(getState(records, 'z0'), 'dead');
   records.merge({ ...near, state: 'dead' }, far);
   assert.is(getState(records, 'x1'), 'alive');
-  assert.equal(records.nextDoubted(3), [near]);
-  assert.equal(records.listDoubts(near), [{ ...near, state: 'dead' }]);
+  assert.equal(records.nextRemoteSuspects(3), [near]);
+  assert.equal(records.listSuspicions(near), [{ ...near, state: 'dead' }]);
   records.merge({ ...near, refutation: 1 }, near);
-  assert.equal(records.nextDoubted(3), []);
+  assert.equal(records.nextRemoteSuspects(3), []);
 });
 
-test('an answer at an address ends every other life there', () => {
+test('an answer at an address ends every other incarnation there', () => {
   const records = createRecords(near, far);
   const successor = createMember('x9', { address: near.address });
   records.merge(successor, far);
@@ -56,37 +56,37 @@
   assert.is(getState(records, 'x9'), 'alive');
 });
 
-test('whoever had this process’s address before is reported dead, known or not', () => {
+test('a previous member at this process’s address is reported dead, known or not', () => {
   const records = createRecords(near);
   const predecessor = createMember('x8', { address: self.address });
   records.merge(predecessor, near);
   assert.is(getState(records, 'x8'), 'dead');
-  const told = records.broadcasts.take(9, 3, new Set()).map((member) => member.vm);
-  assert.ok(told.includes('x8'));
+  const gossiped = records.broadcasts.take(9, 3, new Set()).map((member) => member.vm);
+  assert.ok(gossiped.includes('x8'));
 });
 
-test('each change is sent along a bounded number of times, the least sent first', () => {
+test('each update is gossiped a bounded number of times, the least sent one first', () => {
   const { broadcasts } = createRecords();
-  const nobody = new Set<string>();
+  const noIncarnations = new Set<string>();
   broadcasts.clear();
   broadcasts.add(near);
-  assert.equal(broadcasts.take(1, 9, nobody), [near]);
+  assert.equal(broadcasts.take(1, 9, noIncarnations), [near]);
   broadcasts.add(far);
-  assert.equal(broadcasts.take(1, 9, nobody), [far]);
+  assert.equal(broadcasts.take(1, 9, noIncarnations), [far]);
   assert.equal(broadcasts.take(2, 9, new Set([near.incarnation])), [far]);
-  const rest = Array.from({ length: 20 }, () => broadcasts.take(2, 9, nobody).length);
+  const rest = Array.from({ length: 20 }, () => broadcasts.take(2, 9, noIncarnations).length);
   assert.is(
     rest.reduce((sum, count) => sum + count, 3),
     2 * TRANSMITS_PER_LOG_SIZE,
   );
 });
 
-test('news of the living, and only these, count as sent to a peer that agrees', () => {
+test('only updates about live members count as sent to a peer with an equal digest', () => {
   const { broadcasts } = createRecords();
   const dead: Member = { ...far, state: 'dead' };
   broadcasts.clear();
   [near, dead].forEach((member) => broadcasts.add(member));
-  Array.from({ length: TRANSMITS_PER_LOG_SIZE }, () => broadcasts.countKnown(9));
+  Array.from({ length: TRANSMITS_PER_LOG_SIZE }, () => broadcasts.countAliveAsSent(9));
   assert.equal(broadcasts.take(9, 9, new Set()), [dead]);
 });
 
--- a/packages/membership/src/records/memberRecords.ts
+++ b/packages/membership/src/records/memberRecords.ts
@@ -1,4 +1,4 @@
-/** What this member believes of all others, and the rules by which news change it. */
+/** This member's records of all others, and the rules by which updates change them. */
 import type { Logger } from '@snipehaven/common';
 import type { Member } from '@snipehaven/protocol';
 import type { TimelineRecorder } from '@snipehaven/timeline';
@@ -6,7 +6,7 @@
 import { BroadcastQueue } from './broadcastQueue.js';
 import { Listeners } from './listeners.js';
 import { MemberTable } from './memberTable.js';
-import { isLive, isOutsidersDoubt, supersedes, weighReport } from './precedence.js';
+import { isLive, isRemoteSuspicion, supersedes, downgradeRemoteDeath } from './precedence.js';
 import { recordStateChange } from './recordStateChange.js';
 import { getSuspicionMs, Suspicions } from './suspicions.js';
 
@@ -26,8 +26,8 @@
 
   readonly changes: Listeners<Member>;
 
-  /** What other data centres hold against members of this one, until these have heard it. */
-  readonly #doubts = new Map<string, Member>();
+  /** Suspicions of other data centres against local members, until these have received them. */
+  readonly #remoteSuspicions = new Map<string, Member>();
 
   readonly #options: MemberRecordsOptions;
 
@@ -49,40 +49,41 @@
     return this.table.listLive().filter((member) => member.dataCentre === dataCentre);
   }
 
-  /** Live members but oneself. */
+  /** Lists the live members except this one. */
   listOthers(): readonly Member[] {
     return this.table.listLive().filter((member) => member.incarnation !== this.#selfIncarnation);
   }
 
-  /** Takes in a record that a peer told. */
+  /** Applies a record received from a peer. */
   merge(record: Member, reporter: Member): void {
     if (record.incarnation === this.#selfIncarnation) {
-      this.#hearOfSelf(record);
+      this.#handleReportAboutSelf(record);
       return;
     }
     if (record.address === this.self.address) {
-      this.#endPredecessor(record);
+      this.#declarePredecessorDead(record);
       return;
     }
-    if (isOutsidersDoubt(record, reporter, this.self)) {
-      this.#doubts.set(record.incarnation, record);
+    if (isRemoteSuspicion(record, reporter, this.self)) {
+      this.#remoteSuspicions.set(record.incarnation, record);
       return;
     }
-    const present = this.table.get(record.incarnation);
-    const weighed = weighReport(record, reporter, this.self);
-    if (!present && !isLive(weighed)) {
-      // Nothing to end here; keeping it would hand the dead on for ever.
+    const current = this.table.get(record.incarnation);
+    const adjusted = downgradeRemoteDeath(record, reporter, this.self);
+    if (!current && !isLive(adjusted)) {
+      // There is no live record to end, and storing a dead one would gossip dead members forever.
       return;
     }
-    if (!present || supersedes(weighed, present)) {
-      this.#apply(weighed);
+    if (!current || supersedes(adjusted, current)) {
+      this.#apply(adjusted);
     }
   }
 
   /**
-   * What goes wrong: a new VM starts at a dead one's address, and its answers make the dead one look
-   * alive: duties and records stay with a process that is gone. One notices two live members at one
-   * address. A process that answers at an address proves the end of every other life there.
+   * When a new VM starts at the address of a dead one, its answers make the dead one look alive,
+   * and duties and records stay with a process that no longer exists: two live members at one
+   * address. A process that answers at an address proves that every other incarnation there has
+   * ended.
    */
   confirm(answerer: Member): void {
     this.merge(answerer, answerer);
@@ -97,29 +98,38 @@
       .forEach((member) => this.declareDead(member));
   }
 
-  /** What is held against a member, here or elsewhere, that it must hear of to refute it. */
-  listDoubts(member: Member): readonly Member[] {
-    const held = [this.table.get(member.incarnation), this.#doubts.get(member.incarnation)];
-    return held.filter((record) => record !== undefined && record.state !== 'alive') as Member[];
+  /**
+   * Lists local and remote suspicions about a member, which it must receive in order to refute
+   * them.
+   */
+  listSuspicions(member: Member): readonly Member[] {
+    const records = [
+      this.table.get(member.incarnation),
+      this.#remoteSuspicions.get(member.incarnation),
+    ];
+    return records.filter((record) => record !== undefined && record.state !== 'alive') as Member[];
   }
 
-  /** Some members of this data centre that other ones doubt and that have not refuted it yet. */
-  nextDoubted(limit: number): readonly Member[] {
-    [...this.#doubts.values()]
-      .filter((doubt) => !this.#isOpen(doubt))
-      .forEach((doubt) => this.#doubts.delete(doubt.incarnation));
-    const chosen = [...this.#doubts.values()].slice(0, limit);
-    chosen.forEach((doubt) => {
-      this.#doubts.delete(doubt.incarnation);
-      this.#doubts.set(doubt.incarnation, doubt);
+  /**
+   * Returns some members of this data centre that another one suspects and that have not refuted it
+   * yet.
+   */
+  nextRemoteSuspects(limit: number): readonly Member[] {
+    [...this.#remoteSuspicions.values()]
+      .filter((suspicion) => !this.#isUnrefuted(suspicion))
+      .forEach((suspicion) => this.#remoteSuspicions.delete(suspicion.incarnation));
+    const chosen = [...this.#remoteSuspicions.values()].slice(0, limit);
+    chosen.forEach((suspicion) => {
+      this.#remoteSuspicions.delete(suspicion.incarnation);
+      this.#remoteSuspicions.set(suspicion.incarnation, suspicion);
     });
-    return chosen.map((doubt) => this.table.get(doubt.incarnation) as Member);
+    return chosen.map((suspicion) => this.table.get(suspicion.incarnation) as Member);
   }
 
   suspect(member: Member): void {
-    const present = this.table.get(member.incarnation);
-    if (present?.state === 'alive') {
-      this.#apply({ ...present, state: 'suspect' });
+    const current = this.table.get(member.incarnation);
+    if (current?.state === 'alive') {
+      this.#apply({ ...current, state: 'suspect' });
     }
   }
 
@@ -129,8 +139,8 @@
     }
   }
 
-  /** Declares dead the suspects whose time is up. */
-  buryExpired(): void {
+  /** Declares suspects dead whose time to refute has expired. */
+  declareExpiredDead(): void {
     this.suspicions.listExpired().forEach((incarnation) => {
       const member = this.table.get(incarnation);
       if (member?.state === 'suspect') {
@@ -139,52 +149,58 @@
     });
   }
 
-  /** Raises the own refutation above all that was said of this member so far. */
+  /** Raises this member's refutation above that of all records about it so far. */
   refute(heard = this.self.refutation): void {
     if (this.self.state === 'alive') {
       this.#apply({ ...this.self, refutation: Math.max(heard, this.self.refutation) + 1 });
     }
   }
 
-  /** Forgets all others: what is known of them is older than what they remember of the dead. */
-  startOver(): void {
+  /**
+   * Forgets all other members, because these records are older than the dead members that others
+   * still remember.
+   */
+  forgetOthers(): void {
     this.table.forgetAllBut(this.#selfIncarnation);
     this.suspicions.clear();
     this.broadcasts.clear();
-    this.#doubts.clear();
+    this.#remoteSuspicions.clear();
   }
 
   leave(): void {
     this.#apply({ ...this.self, state: 'left' });
   }
 
-  #isOpen(doubt: Member): boolean {
-    const member = this.table.get(doubt.incarnation);
-    return member !== undefined && isLive(member) && supersedes(doubt, member);
+  #isUnrefuted(suspicion: Member): boolean {
+    const member = this.table.get(suspicion.incarnation);
+    return member !== undefined && isLive(member) && supersedes(suspicion, member);
   }
 
-  #hearOfSelf(record: Member): void {
+  #handleReportAboutSelf(record: Member): void {
     if (record.state !== 'alive' && record.refutation >= this.self.refutation) {
       this.refute(record.refutation);
     }
   }
 
-  /** Whoever had this process's address before is gone; those who still count on it hear so. */
-  #endPredecessor(record: Member): void {
-    const present = this.table.get(record.incarnation);
-    if (isLive(record) && (!present || isLive(present))) {
+  /**
+   * A previous member at this process's address has ended; members that still consider it alive are
+   * informed.
+   */
+  #declarePredecessorDead(record: Member): void {
+    const current = this.table.get(record.incarnation);
+    if (isLive(record) && (!current || isLive(current))) {
       this.declareDead(record);
     }
   }
 
   #apply(member: Member): void {
-    const present = this.table.get(member.incarnation);
+    const current = this.table.get(member.incarnation);
     this.table.put(member);
     this.broadcasts.add(member);
     this.#watchSuspect(member);
-    if (member.state !== present?.state) {
-      recordStateChange(this.#options.timeline, member, present);
-      this.changes.tell(member);
+    if (member.state !== current?.state) {
+      recordStateChange(this.#options.timeline, member, current);
+      this.changes.notify(member);
     }
   }
 
--- a/packages/membership/src/records/memberTable.ts
+++ b/packages/membership/src/records/memberTable.ts
@@ -1,4 +1,4 @@
-/** The records of all members that are remembered, one for each incarnation. */
+/** Records of all known members, one per incarnation. */
 import type { Member } from '@snipehaven/protocol';
 import { BucketDigests, getBucket } from './bucketDigests.js';
 import { isLive } from './precedence.js';
@@ -39,7 +39,7 @@
     return this.list().filter((member) => wanted.has(getBucket(member.incarnation)));
   }
 
-  /** Forgets members that ended longer ago than the given time. */
+  /** Forgets members that ended longer ago than `afterMs`. */
   forgetEnded(afterMs: number): void {
     const limitMs = performance.now() - afterMs;
     [...this.#endedAtMs]
@@ -47,7 +47,6 @@
       .forEach(([incarnation]) => this.#remove(incarnation));
   }
 
-  /** Forgets all but one member. */
   forgetAllBut(incarnation: string): void {
     [...this.#members.keys()]
       .filter((other) => other !== incarnation)
--- a/packages/membership/src/records/recordStateChange.ts
+++ b/packages/membership/src/records/recordStateChange.ts
@@ -1,4 +1,4 @@
-/** Puts members' changes of state on the time line. */
+/** Records state changes of members in the timeline. */
 import type { Member } from '@snipehaven/protocol';
 import type { EventType, TimelineRecorder } from '@snipehaven/timeline';
 
@@ -9,7 +9,7 @@
   left: 'memberLeft',
 };
 
-/** Records the change; `before` is the record that the new one replaces. */
+/** `before` is the record that the new one replaces. */
 export const recordStateChange = (
   timeline: TimelineRecorder,
   member: Member,
--- a/packages/membership/src/records/suspicions.ts
+++ b/packages/membership/src/records/suspicions.ts
@@ -1,15 +1,15 @@
-/** How long each suspect has left to refute. */
+/** Tracks how much time each suspect has left to refute. */
 import type { Member } from '@snipehaven/protocol';
 import type { MembershipSettings } from '../types.js';
 
 interface Suspicion {
   readonly deadlineMs: number;
-  readonly isHastened: boolean;
+  readonly isShortened: boolean;
 }
 
 type SuspicionSettings = Pick<MembershipSettings, 'suspicionMs' | 'remoteSuspicionFactor'>;
 
-/** News takes log(size) periods to come round, and so does the refutation. */
+/** Gossip takes log(size) periods to reach all members, and so does the refutation. */
 export const getSuspicionMs = (
   isLocal: boolean,
   size: number,
@@ -24,25 +24,25 @@
 
   start(incarnation: string, timeoutMs: number): void {
     const deadlineMs = performance.now() + timeoutMs;
-    this.#suspicions.set(incarnation, { deadlineMs, isHastened: false });
+    this.#suspicions.set(incarnation, { deadlineMs, isShortened: false });
   }
 
   end(member: Pick<Member, 'incarnation'>): void {
     this.#suspicions.delete(member.incarnation);
   }
 
-  /** Shortens, once, what a suspect has left. */
-  hasten(incarnation: string, factor: number): void {
+  /** Shortens the remaining time of a suspect, at most once. */
+  shorten(incarnation: string, factor: number): void {
     const suspicion = this.#suspicions.get(incarnation);
-    if (!suspicion || suspicion.isHastened) {
+    if (!suspicion || suspicion.isShortened) {
       return;
     }
     const nowMs = performance.now();
     const deadlineMs = nowMs + (suspicion.deadlineMs - nowMs) * factor;
-    this.#suspicions.set(incarnation, { deadlineMs, isHastened: true });
+    this.#suspicions.set(incarnation, { deadlineMs, isShortened: true });
   }
 
-  /** Gives all suspects further time. */
+  /** Extends the time of all suspects. */
   extendAll(byMs: number): void {
     this.#suspicions.forEach((suspicion, incarnation) => {
       const deadlineMs = suspicion.deadlineMs + byMs;
--- a/packages/membership/src/rounds/healer.ts
+++ b/packages/membership/src/rounds/healer.ts
@@ -1,4 +1,4 @@
-/** Makes contact with addresses that hold no live member: seeds, listed VMs and the recently dead. */
+/** Contacts addresses without a live member: seeds, listed VMs and recently dead members. */
 import type { Logger, Random } from '@snipehaven/common';
 import { pickRandom } from '@snipehaven/common';
 import type { Exchanger } from '../exchange/exchanger.js';
@@ -6,9 +6,9 @@
 import type { MemberRecords } from '../records/memberRecords.js';
 
 /**
- * What goes wrong: after a cut both sides hold each other dead and probe only the living, so they would
- * never meet again. One notices two halves that stay apart though the network is whole. So addresses
- * of the dead and the seeds are tried now and then; an answer brings both views together.
+ * After a network partition, each side considers the other dead and only probes live members, so
+ * the two halves would stay separate although the network has recovered. Therefore the addresses of
+ * dead members and seeds are tried occasionally, and an answer merges both views.
  */
 export class Healer {
   readonly #records: MemberRecords;
@@ -23,9 +23,9 @@
 
   readonly #seeds: readonly string[];
 
-  #hinted: readonly string[] = [];
+  #listedAddresses: readonly string[] = [];
 
-  #remembered: readonly string[] = [];
+  #formerAddresses: readonly string[] = [];
 
   constructor(
     records: MemberRecords,
@@ -43,30 +43,30 @@
     this.#logger = logger;
   }
 
-  /** Addresses that may hold members, from a source that need not be right. */
-  hint(addresses: readonly string[]): void {
-    this.#hinted = addresses;
+  /** Sets addresses that may belong to members, from a source that may be wrong. */
+  setListedAddresses(addresses: readonly string[]): void {
+    this.#listedAddresses = addresses;
   }
 
-  /** Addresses of members whose records were dropped. */
-  remember(addresses: readonly string[]): void {
-    this.#remembered = addresses;
+  /** Sets the addresses of members whose records were dropped. */
+  setFormerAddresses(addresses: readonly string[]): void {
+    this.#formerAddresses = addresses;
   }
 
   /** Tries one address. */
   async run(): Promise<void> {
     const address = pickRandom(this.#listCandidates(), this.#random);
     if (address !== undefined) {
-      await this.#meet(address);
+      await this.#reconnect(address);
     }
   }
 
-  async #meet(address: string): Promise<void> {
+  async #reconnect(address: string): Promise<void> {
     try {
       const answer = await this.#exchanger.contact(address);
       await this.#repairer.repairFully(answer);
     } catch (error) {
-      this.#logger.debug({ address, error }, 'no member answers there');
+      this.#logger.debug({ address, error }, 'no member answered at the address');
     }
   }
 
@@ -75,7 +75,7 @@
     const taken = new Set(table.listLive().map((member) => member.address));
     const dead = table.list().filter((member) => member.state === 'dead');
     const ended = dead.map((member) => member.address);
-    const all = [...this.#seeds, ...this.#hinted, ...this.#remembered, ...ended];
+    const all = [...this.#seeds, ...this.#listedAddresses, ...this.#formerAddresses, ...ended];
     return [...new Set(all)].filter((address) => !taken.has(address));
   }
 }
--- a/packages/membership/src/rounds/prober.ts
+++ b/packages/membership/src/rounds/prober.ts
@@ -1,10 +1,10 @@
-/** Probes members by exchanging news with them, directly and through others. */
+/** Probes members by exchanging updates with them, directly and indirectly. */
 import { withTimeout, type Random } from '@snipehaven/common';
 import type { Member, PeerTransport, Probe } from '@snipehaven/protocol';
-import { INDIRECT_HELPERS } from '../constants.js';
+import { INDIRECT_PROBERS } from '../constants.js';
 import type { Exchanger } from '../exchange/exchanger.js';
 import type { Repairer } from '../exchange/repairer.js';
-import type { PauseWatch } from '../pauseWatch.js';
+import type { PauseDetector } from '../pauseDetector.js';
 import type { MemberRecords } from '../records/memberRecords.js';
 import type { MembershipSettings } from '../types.js';
 import { toPeerTimeout } from '../errors.js';
@@ -13,7 +13,7 @@
 export interface ProberOptions {
   readonly records: MemberRecords;
   readonly exchanger: Exchanger;
-  readonly pauseWatch: PauseWatch;
+  readonly pauseDetector: PauseDetector;
   readonly transport: PeerTransport;
   readonly random: Random;
   readonly settings: MembershipSettings;
@@ -26,20 +26,20 @@
     this.#options = options;
   }
 
-  /** Suspects the member when neither this one nor its helpers get an answer. */
+  /** Suspects the member if neither this one nor the indirect probers get an answer. */
   async probe(member: Member, repairer: Repairer): Promise<void> {
-    const { records, pauseWatch } = this.#options;
-    const pauses = pauseWatch.count;
-    if ((await this.#reach(member, repairer)) || (await this.#reachAgain(member, repairer))) {
+    const { records, pauseDetector } = this.#options;
+    const pauses = pauseDetector.count;
+    if ((await this.#reach(member, repairer)) || (await this.#reachIndirectly(member, repairer))) {
       return;
     }
-    pauseWatch.check();
-    if (pauseWatch.count === pauses) {
+    pauseDetector.check();
+    if (pauseDetector.count === pauses) {
       records.suspect(member);
     }
   }
 
-  /** Answers a peer that could not reach a member itself. */
+  /** Probes a member on behalf of a peer that could not reach it. */
   async answerProbe(probe: Probe): Promise<{ readonly isAlive: boolean }> {
     const { exchanger, settings } = this.#options;
     try {
@@ -57,7 +57,7 @@
   async #reach(member: Member, repairer: Repairer): Promise<boolean> {
     try {
       const answer = await this.#options.exchanger.exchange(member);
-      await repairer.repairRationed(answer).catch(() => undefined);
+      await repairer.repairRateLimited(answer).catch(() => undefined);
       return true;
     } catch {
       return false;
@@ -65,23 +65,23 @@
   }
 
   /**
-   * What goes wrong: the one connection to a member went silent, or just the path between two members
-   * is cut, and a healthy member is suspected. One notices suspicions that are refuted at once. So a
-   * second try goes over a new connection, and others try at the same time.
+   * When the only connection to a member hangs, or just the path between two members fails, a
+   * healthy member would be suspected and refute at once. Therefore the second attempt uses a new
+   * connection, and other members probe at the same time.
    */
-  async #reachAgain(member: Member, repairer: Repairer): Promise<boolean> {
+  async #reachIndirectly(member: Member, repairer: Repairer): Promise<boolean> {
     const tries = [
       this.#reach(member, repairer),
-      ...this.#chooseHelpers(member).map((helper) => this.#askHelper(helper, member)),
+      ...this.#chooseIndirectProbers(member).map((prober) => this.#probeThrough(prober, member)),
     ];
     const reached = tries.map(async (attempt) => (await attempt) || Promise.reject(new Error()));
     return Promise.any(reached).catch(() => false);
   }
 
-  async #askHelper(helper: Member, member: Member): Promise<boolean> {
+  async #probeThrough(prober: Member, member: Member): Promise<boolean> {
     const { transport, settings } = this.#options;
     const { address, incarnation } = member;
-    const call = transport.getPeer(helper.address).membership.probe({ address, incarnation });
+    const call = transport.getPeer(prober.address).membership.probe({ address, incarnation });
     try {
       const { probeTimeoutMs } = settings;
       const timeout = toPeerTimeout(probeTimeoutMs);
@@ -91,14 +91,17 @@
     }
   }
 
-  /** Members of one's own data centre; for a member elsewhere, also one there and one in a third. */
-  #chooseHelpers(member: Member): readonly Member[] {
+  /**
+   * Chooses members of the local data centre; for a remote member, also one of its data centre and
+   * one of a third.
+   */
+  #chooseIndirectProbers(member: Member): readonly Member[] {
     const { records, random } = this.#options;
     const { dataCentre } = records.self;
     const others = records.listOthers().filter((other) => other.incarnation !== member.incarnation);
     const near = others.filter((other) => other.dataCentre === dataCentre);
     if (member.dataCentre === dataCentre) {
-      return sampleMembers(near, INDIRECT_HELPERS, random);
+      return sampleMembers(near, INDIRECT_PROBERS, random);
     }
     const there = others.filter((other) => other.dataCentre === member.dataCentre);
     const third = others.filter(
--- a/packages/membership/src/rounds/relayRounds.ts
+++ b/packages/membership/src/rounds/relayRounds.ts
@@ -1,4 +1,4 @@
-/** Reaches into the other data centres, so that all know all members. */
+/** Exchanges with the other data centres, so that all members learn of each other. */
 import type { Random } from '@snipehaven/common';
 import type { Member } from '@snipehaven/protocol';
 import { RELAYS_PER_DATA_CENTRE } from '../constants.js';
@@ -35,7 +35,7 @@
     this.#random = random;
   }
 
-  /** Probes one member of each data centre that this member relays to. */
+  /** Probes one member of each data centre for which this member is a relay. */
   async run(): Promise<void> {
     const targets = this.#listDataCentres()
       .filter((dataCentre) => this.#isRelayTo(dataCentre))
--- a/packages/membership/src/rounds/roundTimers.ts
+++ b/packages/membership/src/rounds/roundTimers.ts
@@ -1,4 +1,4 @@
-/** Starts each kind of round again and again, out of step with other members. */
+/** Starts each type of round periodically, out of phase with other members. */
 import {
   spawnHandlerActor,
   startActorSystem,
@@ -10,7 +10,6 @@
 } from '@snipehaven/common';
 import { JITTER } from '../constants.js';
 
-/** Kinds of rounds. */
 export type RoundType = 'probe' | 'relay' | 'heal' | 'vmList';
 
 interface RoundMessage {
@@ -51,7 +50,7 @@
     const schedule = (type: RoundType, delayMs: number): void => {
       const run = (): void => {
         actor.tell({ type });
-        schedule(type, this.#vary(this.#intervals[type]));
+        schedule(type, this.#addJitter(this.#intervals[type]));
       };
       this.#timers.set(type, setTimeout(run, delayMs).unref());
     };
@@ -69,7 +68,7 @@
     }
   }
 
-  #vary(intervalMs: number): number {
+  #addJitter(intervalMs: number): number {
     return intervalMs * (1 + JITTER * (2 * this.#random.next() - 1));
   }
 }
--- a/packages/membership/src/rounds/shuffledOrder.ts
+++ b/packages/membership/src/rounds/shuffledOrder.ts
@@ -1,4 +1,7 @@
-/** Goes round a changing set of members in a shuffled order, so that each comes within two rounds. */
+/**
+ * Iterates over a changing set of members in random order, so that each member is returned within
+ * two rounds.
+ */
 import type { Random } from '@snipehaven/common';
 import type { Member } from '@snipehaven/protocol';
 
@@ -20,7 +23,10 @@
     this.#random = random;
   }
 
-  /** The next of the given members; members that joined since the last shuffle wait for the next. */
+  /**
+   * Returns the next of the given members. Members that joined after the last shuffle have to wait
+   * for the next one.
+   */
   next(members: readonly Member[]): Member | undefined {
     const byIncarnation = new Map(members.map((member) => [member.incarnation, member]));
     if (!this.#queue.some((incarnation) => byIncarnation.has(incarnation))) {
@@ -36,7 +42,7 @@
   }
 }
 
-/** Up to so many members, chosen at random. */
+/** Returns at most `count` random members. */
 export const sampleMembers = (
   members: readonly Member[],
   count: number,
--- a/packages/membership/src/rounds/vmListRounds.test.ts
+++ b/packages/membership/src/rounds/vmListRounds.test.ts
@@ -3,7 +3,7 @@
 import type { ListedVm } from '@snipehaven/platform';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { DEFAULT_MEMBERSHIP_SETTINGS, LISTED_GONE_FACTOR } from '../constants.js';
+import { DEFAULT_MEMBERSHIP_SETTINGS, UNLISTED_SUSPICION_FACTOR } from '../constants.js';
 import { createMember, createRecords } from '../testing/createRecords.js';
 import type { Healer } from './healer.js';
 import { VmListRounds } from './vmListRounds.js';
@@ -30,7 +30,10 @@
   { name: 'u1', role: 'upstream', dataCentre: 'x', address: 'x3', state: 'live' },
 ] as const;
 
-/** Suspects three members, reads the list, and lists who is still live after so long. */
+/**
+ * Suspects three members, reads the list, and returns the members that are still live after the
+ * given time.
+ */
 const listSurvivors = async (
   clock: Clock,
   list: () => Promise<readonly ListedVm[]>,
@@ -38,28 +41,28 @@
 ): Promise<readonly string[]> => {
   const members = [listed, leaving, absent].filter((member) => member !== undefined);
   const records = createRecords(...members);
-  const healer = { hint: () => undefined } as unknown as Healer;
+  const healer = { setListedAddresses: () => undefined } as unknown as Healer;
   const rounds = new VmListRounds({ list }, records, healer, createSilentLogger());
   members.forEach((member) => records.suspect(member));
   await rounds.run();
-  rounds.hastenUnlisted();
-  rounds.hastenUnlisted();
+  rounds.shortenUnlistedSuspicions();
+  rounds.shortenUnlistedSuspicions();
   clock.tick(afterMs);
-  records.buryExpired();
+  records.declareExpiredDead();
   return records.listOthers().map((member) => member.vm);
 };
 
-const HASTENED_MS = DEFAULT_MEMBERSHIP_SETTINGS.suspicionMs * LISTED_GONE_FACTOR;
+const SHORTENED_MS = DEFAULT_MEMBERSHIP_SETTINGS.suspicionMs * UNLISTED_SUSPICION_FACTOR;
 
-test('suspects that are not listed as live have less time, once', async ({ clock }) => {
+test('the time of suspects that are not listed as live is shortened once', async ({ clock }) => {
   const list = async (): Promise<readonly ListedVm[]> => vms;
-  assert.equal(await listSurvivors(clock, list, HASTENED_MS - 1), ['x1', 'x2', 'x3']);
-  assert.equal(await listSurvivors(clock, list, HASTENED_MS), ['x1']);
+  assert.equal(await listSurvivors(clock, list, SHORTENED_MS - 1), ['x1', 'x2', 'x3']);
+  assert.equal(await listSurvivors(clock, list, SHORTENED_MS), ['x1']);
 });
 
-test('a list that cannot be read says nothing about anyone', async ({ clock }) => {
+test('a list that cannot be read affects no member', async ({ clock }) => {
   const list = async (): Promise<readonly ListedVm[]> => Promise.reject(new Error('away'));
-  assert.equal(await listSurvivors(clock, list, HASTENED_MS), ['x1', 'x2', 'x3']);
+  assert.equal(await listSurvivors(clock, list, SHORTENED_MS), ['x1', 'x2', 'x3']);
 });
 
 test.run();
--- a/packages/membership/src/rounds/vmListRounds.ts
+++ b/packages/membership/src/rounds/vmListRounds.ts
@@ -1,14 +1,15 @@
-/** Reads the platform's list of VMs, which lags: a hint, never a verdict. */
+/** Reads the platform's VM list. The list lags, so it is only used as a hint. */
 import { getErrorMessage, type Logger } from '@snipehaven/common';
 import type { ListedVm, VmListClient } from '@snipehaven/platform';
-import { LISTED_GONE_FACTOR } from '../constants.js';
+import { UNLISTED_SUSPICION_FACTOR } from '../constants.js';
 import type { MemberRecords } from '../records/memberRecords.js';
 import type { Healer } from './healer.js';
 
 /**
- * What goes wrong: the list shows VMs that are gone and lacks those that just came; a member removed on its
- * word would be one that serves. One notices members that die though they answer. So the list only says
- * where to knock, and shortens the time of members that are already suspected for not answering.
+ * The list shows VMs that have ended and lacks new ones. If members were removed because of it,
+ * serving members would be declared dead although they answer. Therefore the list only provides
+ * addresses to contact, and shortens the time of members that are already suspected because they do
+ * not answer.
  */
 export class VmListRounds {
   readonly #vmList: VmListClient;
@@ -19,7 +20,7 @@
 
   readonly #logger: Logger;
 
-  /** Addresses of live entry VMs as last read; undefined: unknown, which says nothing about anyone. */
+  /** Addresses of live entry VMs as last read. Undefined means unknown, which affects no member. */
   #listed: ReadonlySet<string> | undefined;
 
   constructor(vmList: VmListClient, records: MemberRecords, healer: Healer, logger: Logger) {
@@ -29,24 +30,24 @@
     this.#logger = logger;
   }
 
-  /** Reads the list; one that can't be read leaves no old one behind. */
+  /** Reads the list. If that fails, the previous one is discarded. */
   async run(): Promise<void> {
     try {
       this.#listed = VmListRounds.#collectAddresses(await this.#vmList.list());
-      this.#healer.hint([...this.#listed]);
+      this.#healer.setListedAddresses([...this.#listed]);
     } catch (error) {
       this.#listed = undefined;
-      this.#logger.debug({ error: getErrorMessage(error) }, 'the list of VMs is away');
+      this.#logger.debug({ error: getErrorMessage(error) }, 'could not read the VM list');
     }
   }
 
-  /** For a member that reads the list no more, since another has the duty now. */
+  /** Discards the list when another member has taken over the duty of reading it. */
   forgetList(): void {
     this.#listed = undefined;
   }
 
   /** Shortens the time of suspects that the list does not show as live. */
-  hastenUnlisted(): void {
+  shortenUnlistedSuspicions(): void {
     const listed = this.#listed;
     if (!listed) {
       return;
@@ -54,7 +55,9 @@
     this.#records.table
       .listLive()
       .filter((member) => member.state === 'suspect' && !listed.has(member.address))
-      .forEach((member) => this.#records.suspicions.hasten(member.incarnation, LISTED_GONE_FACTOR));
+      .forEach((member) =>
+        this.#records.suspicions.shorten(member.incarnation, UNLISTED_SUSPICION_FACTOR),
+      );
   }
 
   static #collectAddresses(vms: readonly ListedVm[]): ReadonlySet<string> {
--- a/packages/membership/src/testing/createRecords.ts
+++ b/packages/membership/src/testing/createRecords.ts
@@ -1,11 +1,14 @@
-/** Records of a member `x0` for tests. */
+/** Records of a member `x0`, for tests. */
 import { createSilentLogger } from '@snipehaven/common';
 import type { Member } from '@snipehaven/protocol';
 import { silentRecorder } from '@snipehaven/timeline';
 import { DEFAULT_MEMBERSHIP_SETTINGS } from '../constants.js';
 import { MemberRecords } from '../records/memberRecords.js';
 
-/** A live member whose data centre is its name's first letter, and whose address is its name. */
+/**
+ * Creates a live member. The first letter of its name is its data centre, and its name is its
+ * address.
+ */
 export const createMember = (vm: string, change: Partial<Member> = {}): Member => ({
   vm,
   dataCentre: vm[0] as string,
@@ -16,7 +19,7 @@
   ...change,
 });
 
-/** Records in which the given members are known. */
+/** Creates records that contain the given members. */
 export const createRecords = (...known: readonly Member[]): MemberRecords => {
   const records = new MemberRecords({
     self: createMember('x0'),
--- a/packages/membership/src/testing/fakeTable.ts
+++ b/packages/membership/src/testing/fakeTable.ts
@@ -1,4 +1,4 @@
-/** A table in memory for tests, which can lose a reply or hold a write back. */
+/** In-memory table for tests that can lose replies and delay writes. */
 import {
   PlatformOutcomeUnknownError,
   PlatformRefusedError,
@@ -9,26 +9,26 @@
 } from '@snipehaven/platform';
 
 /**
- * `lostReply`: done, and nobody hears of it. `lateWrite`: takes effect when told to by `arrive`. `slowReply`:
- * done at once, the reply comes by `arrive`.
+ * `lostReply`: applied, but the reply is lost. `lateWrite`: applied when `arrive` is called.
+ * `slowReply`: applied at once, and the reply is sent when `arrive` is called.
  */
 type WriteFault = 'none' | 'lostReply' | 'lateWrite' | 'slowReply';
 
 export class FakeTable implements TableClient {
   readonly #rows = new Map<string, TableRow>();
 
-  #late: (() => void)[] = [];
+  #pending: (() => void)[] = [];
 
   #nextFault: WriteFault = 'none';
 
-  #isAway = false;
+  #isUnavailable = false;
 
   async transact(transactions: readonly TableTransaction[]): Promise<readonly TransactionResult[]> {
-    this.#checkAway();
+    this.#checkAvailable();
     const fault = this.#nextFault;
     this.#nextFault = 'none';
     if (fault === 'lateWrite') {
-      this.#late.push(() => transactions.forEach((transaction) => this.#commit(transaction)));
+      this.#pending.push(() => transactions.forEach((transaction) => this.#commit(transaction)));
       throw new PlatformOutcomeUnknownError('timed out');
     }
     const results = transactions.map((transaction) => this.#commit(transaction));
@@ -37,14 +37,14 @@
     }
     if (fault === 'slowReply') {
       await new Promise<void>((resolve) => {
-        this.#late.push(resolve);
+        this.#pending.push(resolve);
       });
     }
     return results;
   }
 
   async read(keys: readonly string[]): Promise<readonly TableRow[]> {
-    this.#checkAway();
+    this.#checkAvailable();
     return keys.flatMap((key) => this.#rows.get(key) ?? []);
   }
 
@@ -52,28 +52,28 @@
     return [...this.#rows.values()];
   }
 
-  /** Decides what happens to the next write. */
+  /** Sets the fault of the next write. */
   failNext(fault: WriteFault): void {
     this.#nextFault = fault;
   }
 
-  /** Whether all calls are refused from now on. */
+  /** Sets whether all calls are refused. */
   setAway(isAway: boolean): void {
-    this.#isAway = isAway;
+    this.#isUnavailable = isAway;
   }
 
-  /** Lets what was held back happen. */
+  /** Completes the delayed writes and replies. */
   arrive(): void {
-    this.#late.splice(0).forEach((step) => step());
+    this.#pending.splice(0).forEach((step) => step());
   }
 
-  /** Puts a row in place whatever was there. */
+  /** Replaces a row, whatever its version. */
   put(key: string, value: unknown): void {
     this.#rows.set(key, { key, value, version: (this.#rows.get(key)?.version ?? 0) + 1 });
   }
 
-  #checkAway(): void {
-    if (this.#isAway) {
+  #checkAvailable(): void {
+    if (this.#isUnavailable) {
       throw new PlatformRefusedError('away');
     }
   }
--- a/packages/membership/src/testing/localNetwork.ts
+++ b/packages/membership/src/testing/localNetwork.ts
@@ -1,4 +1,4 @@
-/** Members in one process for tests, joined by a network whose paths can be cut. */
+/** In-process members for tests, connected by a network whose paths can be blocked. */
 import { createRandom, createSilentLogger, sleep } from '@snipehaven/common';
 import type { VmListClient } from '@snipehaven/platform';
 import {
@@ -14,10 +14,10 @@
 
 const LATENCY_MS = 1;
 
-/** Whether the path between two addresses carries nothing. */
-type Cut = (from: string, to: string) => boolean;
+/** Whether the path between two addresses is blocked. */
+type PathFilter = (from: string, to: string) => boolean;
 
-/** What one end sent and received: two messages for each call. */
+/** Messages and bytes sent and received at one address; each call counts as two messages. */
 export interface Traffic {
   readonly messages: number;
   readonly bytes: number;
@@ -33,7 +33,7 @@
   readonly vm: string;
   readonly dataCentre: string;
   readonly address?: string;
-  readonly life?: number;
+  readonly incarnationNumber?: number;
   readonly seeds?: readonly string[];
   readonly vmList?: VmListClient;
   readonly topics?: readonly GossipTopic[];
@@ -46,25 +46,25 @@
 
   readonly members: TestMember[] = [];
 
-  isCut: Cut = () => false;
+  isCut: PathFilter = () => false;
 
-  /** Calls and bytes of bodies by address, at both ends of each call. */
+  /** Calls and body bytes by address, counted at both ends of each call. */
   readonly traffic = new Map<string, Traffic>();
 
   constructor(seed: number) {
     this.#seed = seed;
   }
 
-  /** Starts a member; its address is its VM's name unless told otherwise. */
+  /** Starts a member. Its address defaults to its VM's name. */
   join(options: JoinOptions): TestMember {
     const {
       vm,
       dataCentre,
       address = vm,
-      life = 1,
+      incarnationNumber = 1,
       seeds = [this.members[0]?.address ?? vm],
     } = options;
-    const self = { vm, dataCentre, address, incarnation: `${vm}#${life}` };
+    const self = { vm, dataCentre, address, incarnation: `${vm}#${incarnationNumber}` };
     const clock = new HybridClock();
     const timeline = new Timeline(self, clock);
     const membership = new Membership({
@@ -84,7 +84,7 @@
     return member;
   }
 
-  /** Starts so many members in each data centre, named `x0`, `x1`, …, `y0`, … . */
+  /** Starts `count` members in each data centre, named `x0`, `x1`, …, `y0`, … . */
   joinAll(dataCentres: readonly string[], count: number): void {
     dataCentres.forEach((dataCentre) =>
       Array.from({ length: count }, (_, index) =>
@@ -97,13 +97,13 @@
     return this.members.find((member) => member.membership.self.vm === vm) as TestMember;
   }
 
-  /** The process ends or stands still; its address refuses. */
+  /** Ends or freezes the process; its address refuses connections. */
   halt(member: TestMember): void {
     member.membership.stop();
     this.#peers.delete(member.address);
   }
 
-  /** A halted process goes on with what it knew. */
+  /** Resumes a halted process with the state it had. */
   resume(member: TestMember): void {
     const handlers = { membership: member.membership.handlers } as PeerHandlers;
     this.#peers.set(member.address, createLocalPeer(handlers));
@@ -114,7 +114,7 @@
     this.members.forEach((member) => member.membership.stop());
   }
 
-  /** Cuts off each data centre that is named from all others. */
+  /** Partitions each of the given data centres from all others. */
   cutOff(...dataCentres: readonly string[]): void {
     const findDataCentre = (address: string): string | undefined =>
       this.members.find((member) => member.address === address)?.membership.self.dataCentre;
@@ -129,13 +129,13 @@
       input: Input,
       step: (peer: PeerHandlers, message: Input) => Promise<Output>,
     ): Promise<Output> => {
-      await this.#carry(from, to, input);
+      await this.#transmit(from, to, input);
       const peer = this.#peers.get(to);
       if (!peer) {
         throw new PeerUnreachableError(`${to}: refused`);
       }
       const output = await step(peer, structuredClone(input));
-      await this.#carry(to, from, output);
+      await this.#transmit(to, from, output);
       return structuredClone(output);
     };
     return {
@@ -150,7 +150,7 @@
     };
   }
 
-  async #carry(from: string, to: string, body: unknown): Promise<void> {
+  async #transmit(from: string, to: string, body: unknown): Promise<void> {
     if (this.isCut(from, to)) {
       await sleep(PEER_CALL_TIMEOUT_MS);
       throw new PeerUnreachableError(`${to}: no answer`);
@@ -166,7 +166,7 @@
   }
 }
 
-/** `vm:state` of all that a member remembers, in order. */
+/** Returns `vm:state` of all members that a member remembers, sorted. */
 export const describeView = ({ membership }: TestMember): string =>
   membership
     .listMembers()
@@ -174,14 +174,14 @@
     .sort()
     .join(' ');
 
-/** Incarnations that a member holds alive, in order. */
-export const listAliveNames = ({ membership }: TestMember): string =>
+/** Returns the incarnations that a member considers alive, sorted. */
+export const listAliveIncarnations = ({ membership }: TestMember): string =>
   membership
     .listAlive()
     .map((member) => member.incarnation)
     .sort()
     .join(' ');
 
-/** Events of a type on a member's time line. */
+/** Returns the events of a type in a member's timeline. */
 export const listEvents = (member: TestMember, type: EventType): readonly TimelineEvent[] =>
   member.timeline.list({ types: [type] });
--- a/packages/membership/src/types.ts
+++ b/packages/membership/src/types.ts
@@ -1,38 +1,41 @@
-/** What the other packages see of membership. */
+/** Public types of membership. */
 import type { Logger, Random } from '@snipehaven/common';
 import type { VmListClient } from '@snipehaven/platform';
 import type { Member, PeerTransport } from '@snipehaven/protocol';
 import type { HybridClock, TimelineRecorder } from '@snipehaven/timeline';
 
-/** Who this process is, from its settings. */
+/** Identity of this process, from its settings. */
 export type SelfIdentity = Pick<Member, 'vm' | 'dataCentre' | 'address' | 'incarnation'>;
 
 export interface MembershipSettings {
-  /** One member of the own data centre is probed in each period. */
+  /** Interval at which one member of the local data centre is probed. */
   readonly probeIntervalMs: number;
   readonly probeTimeoutMs: number;
-  /** How long a helper waits for the member that it probes for another. */
+  /** Time that an indirect prober waits for the member that it probes. */
   readonly indirectTimeoutMs: number;
-  /** How often each relay reaches into its other data centre. */
+  /** Interval at which each relay exchanges with its other data centre. */
   readonly relayIntervalMs: number;
-  /** How often a dead member's or seed's address is tried again. */
+  /** Interval at which the address of a dead member or seed is tried again. */
   readonly healIntervalMs: number;
   readonly vmListIntervalMs: number;
-  /** How long a suspect of the own data centre may take to refute, times log10 of the size. */
+  /**
+   * Time for a suspect of the local data centre to refute, multiplied by log10 of the number of
+   * members.
+   */
   readonly suspicionMs: number;
-  /** How much longer a suspect of another data centre may take. */
+  /** Factor for the time of suspects of other data centres. */
   readonly remoteSuspicionFactor: number;
-  /** How long the dead and the left are remembered. */
+  /** Time for which members that died or left are remembered. */
   readonly forgetAfterMs: number;
-  /** A member asks for a repair of differing digests at most this often. */
+  /** Minimum interval between repairs of differing digests. */
   readonly repairIntervalMs: number;
-  /** A timer as late as this counts as a pause of the process. */
+  /** A timer that is at least this late counts as a pause of the process. */
   readonly pauseThresholdMs: number;
 }
 
 export interface MembershipOptions {
   readonly self: SelfIdentity;
-  /** Addresses of the inner protocol to join through. */
+  /** Peer protocol addresses to join through. */
   readonly seeds: readonly string[];
   readonly transport: PeerTransport;
   readonly vmList?: VmListClient | undefined;
@@ -44,53 +47,67 @@
   readonly settings?: Partial<MembershipSettings>;
 }
 
-/** Carries a concern's payload along with each membership exchange, so that it costs no calls. */
+/**
+ * Payload of another subsystem that is sent along with each membership exchange and costs no calls
+ * of its own.
+ */
 export interface GossipTopic {
   readonly name: string;
-  /** What the peer may not know yet; undefined: nothing to say. */
+  /** Returns what the peer may not know yet; undefined if there is nothing to send. */
   getPayload(peer: Member): unknown;
-  /** Takes in a peer's payload, which the topic checks itself. */
+  /** Merges a peer's payload. The topic validates it itself. */
   mergePayload(payload: unknown, from: Member): void;
 }
 
-/** The live view of who is there. */
+/** The current view of the members. */
 export interface MembershipView {
   readonly self: Member;
-  /** Members held alive or suspect, in all data centres, self included. */
+  /** Members that are alive or suspect, in all data centres, including this one. */
   listAlive(): readonly Member[];
-  /** Those of the own data centre, self included. */
+  /** Those of the local data centre, including this one. */
   listLocal(): readonly Member[];
-  /** One live member of each other data centre, to relay through. */
+  /** One live member of each other data centre to relay through. */
   listRelays(): readonly Member[];
-  /** Whether a process's life is still believed to go on. */
+  /** Whether an incarnation is alive or suspect. */
   isIncarnationAlive(incarnation: string): boolean;
-  /** What is known of a life; undefined: not met yet, or ended long ago and forgotten. */
+  /**
+   * The record of an incarnation; undefined if it is not known yet, or ended long ago and was
+   * forgotten.
+   */
   getMember(incarnation: string): Member | undefined;
-  /** The member of the own data centre that does the duty for all: rendezvous over live ones. */
+  /**
+   * The member of the local data centre that performs the duty for all, by rendezvous hashing over
+   * the live members.
+   */
   getDutyOwner(duty: string): Member;
   ownsDuty(duty: string): boolean;
-  /** Live members of the own data centre by falling rendezvous weight for the key. */
+  /** Live members of the local data centre by descending rendezvous weight for the key. */
   rankLocal(key: string): readonly Member[];
-  /** Calls the listener with each member whose state changed; returns the function that ends it. */
+  /**
+   * Calls the listener with each member whose state changed. Returns the function that removes it.
+   */
   onChange(listener: (member: Member) => void): () => void;
-  /** All members remembered, the dead and the left too, self included. */
+  /** All remembered members, including this one and those that died or left. */
   listMembers(): readonly Member[];
-  /** Calls the listener after the process was frozen; returns the function that ends it. */
+  /** Calls the listener after the process was paused. Returns the function that removes it. */
   onPause(listener: (pausedMs: number) => void): () => void;
 }
 
-/** An exclusive right held for a while, under a fencing number that only rises. */
+/** An exclusive lease with a limited duration and an increasing fencing number. */
 export interface Lease {
   readonly name: string;
   readonly fence: number;
-  /** False once the lease may have lapsed, counting a pause of the process against it. */
+  /** False as soon as the lease may have expired, even while the process was paused. */
   isHeld(): boolean;
-  /** How much longer it is held for sure, 0 once it may have lapsed. */
+  /** Remaining time for which the lease is certainly held; 0 once it may have expired. */
   getRemainingMs(): number;
   release(): Promise<void>;
 }
 
 export interface LeaseKeeper {
-  /** Takes or extends the lease; undefined while another holds it or the table is away. */
+  /**
+   * Acquires or extends the lease; undefined while another member holds it or the table is
+   * unavailable.
+   */
   acquire(name: string, durationMs: number): Promise<Lease | undefined>;
 }
