--- a/packages/forwarding/src/crashes/crashBook.test.ts
+++ b/packages/forwarding/src/crashes/crashBook.test.ts
@@ -4,7 +4,7 @@
 import { HOLD_MS } from '@snipehaven/policy';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { NO_CRASH_NEWS, type CrashNews } from '../peers/index.js';
+import { EMPTY_CRASH_REPORT, type CrashReport } from '../peers/index.js';
 import type { Upstream } from '../types.js';
 import type { SentRequest, UpstreamEnd } from '../upstreams/index.js';
 import { CrashBook } from './crashBook.js';
@@ -12,7 +12,7 @@
 
 interface Context {
   clock: Clock;
-  told: CrashNews[];
+  told: CrashReport[];
   book: CrashBook;
 }
 
@@ -21,7 +21,7 @@
 test.before.each((context) => {
   context.clock = FakeTimers.install();
   context.told = [];
-  const tell = (news: CrashNews) => context.told.push(news);
+  const tell = (news: CrashReport) => context.told.push(news);
   context.book = new CrashBook({ logger: createSilentLogger(), random: createRandom(1), tell });
 });
 
@@ -52,8 +52,8 @@
   lost,
 });
 
-const reportEnds = (digest: RequestDigest, ...lives: readonly string[]): CrashNews => ({
-  ...NO_CRASH_NEWS,
+const reportEnds = (digest: RequestDigest, ...lives: readonly string[]): CrashReport => ({
+  ...EMPTY_CRASH_REPORT,
   ends: lives.map((lifeId) => ({
     lifeId,
     suspects: [{ digest, attemptId: `at ${lifeId}`, suspicion: 'strong' }],
@@ -75,12 +75,12 @@
 
 test('lets a request go when it is answered, lapses, or its upstreams live', ({ book, clock }) => {
   book.takeNews(reportEnds(A, 'u-1', 'u-2', 'u-3'));
-  book.takeNews({ ...NO_CRASH_NEWS, cleared: [A] });
+  book.takeNews({ ...EMPTY_CRASH_REPORT, cleared: [A] });
   assert.is(book.findHold(A), undefined);
   book.takeNews(reportEnds(A, 'u-1', 'u-2', 'u-3'));
   assert.is(book.findHold(A), undefined, 'told again after the answer');
   book.takeNews(reportEnds(A, 'u-4', 'u-5', 'u-6'));
-  book.takeNews({ ...NO_CRASH_NEWS, alive: ['u-5'] });
+  book.takeNews({ ...EMPTY_CRASH_REPORT, alive: ['u-5'] });
   assert.is(book.findHold(A), undefined);
   book.takeNews(reportEnds(A, 'u-7', 'u-8', 'u-9'));
   clock.tick(HOLD_MS - 1);
@@ -136,7 +136,7 @@
 test('who hears that a request is cleared does not say it again', ({ book, told, clock }) => {
   book.noteAnswered(A);
   book.takeNews(reportEnds(A, 'u-1', 'u-2', 'u-3'));
-  book.takeNews({ ...NO_CRASH_NEWS, cleared: [A] });
+  book.takeNews({ ...EMPTY_CRASH_REPORT, cleared: [A] });
   clock.tick(1_000);
   assert.equal(told, []);
 });
--- a/packages/forwarding/src/crashes/crashBook.ts
+++ b/packages/forwarding/src/crashes/crashBook.ts
@@ -10,7 +10,7 @@
   type EndReport,
   type Suspect,
 } from '@snipehaven/policy';
-import { NO_CRASH_NEWS, type CrashNews } from '../peers/index.js';
+import { EMPTY_CRASH_REPORT, type CrashReport } from '../peers/index.js';
 import type { SentRequest, UpstreamEnd } from '../upstreams/index.js';
 import { AnsweredRequests } from './answeredRequests.js';
 import { CLEARED_DELAY_MS, MAX_ENDED_LIVES, MAX_HELD, MAX_OBJECTION_MS } from './constants.js';
@@ -20,7 +20,7 @@
   readonly logger: Logger;
   readonly random: Random;
   /** Tells all other daemons. */
-  tell(news: CrashNews): void;
+  tell(news: CrashReport): void;
 }
 
 /** Who says so: this daemon saw it, another one told it, or the store has a row of it. */
@@ -95,11 +95,11 @@
       .filter(({ digest }) => !this.#answered.has(digest, nowMs))
       .map((one) => this.#suspect(one, end, nowMs));
     const report = { lifeId: end.lifeId, suspects };
-    this.#options.tell({ ...NO_CRASH_NEWS, ends: [report] });
+    this.#options.tell({ ...EMPTY_CRASH_REPORT, ends: [report] });
     this.#takeEnd(report, 'own');
   }
 
-  takeNews({ ends, cleared, alive }: CrashNews): void {
+  takeNews({ ends, cleared, alive }: CrashReport): void {
     ends.forEach((report) => this.#takeEnd(report, 'peer'));
     cleared.forEach((digest) => this.#clear(digest, 'peer'));
     alive.forEach((lifeId) => this.#withdraw(lifeId, 'peer'));
@@ -117,7 +117,7 @@
   noteAlive(lifeId: string): void {
     this.#options.logger.info({ event: 'upstreamNotEnded', life: lifeId }, 'an upstream lives');
     this.#withdraw(lifeId, 'own');
-    this.#options.tell({ ...NO_CRASH_NEWS, alive: [lifeId] });
+    this.#options.tell({ ...EMPTY_CRASH_REPORT, alive: [lifeId] });
   }
 
   /** The store says that the request is held back. */
@@ -235,6 +235,6 @@
   #tellCleared(): void {
     const cleared = [...this.#cleared];
     this.#cleared.clear();
-    this.#options.tell({ ...NO_CRASH_NEWS, cleared });
+    this.#options.tell({ ...EMPTY_CRASH_REPORT, cleared });
   }
 }
--- a/packages/forwarding/src/crashes/holdKeeper.test.ts
+++ b/packages/forwarding/src/crashes/holdKeeper.test.ts
@@ -5,7 +5,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { StoreUnavailableError } from '../errors.js';
-import { NO_CRASH_NEWS, type CrashNews } from '../peers/index.js';
+import { EMPTY_CRASH_REPORT, type CrashReport } from '../peers/index.js';
 import type { Upstream } from '../types.js';
 import { CrashBook } from './crashBook.js';
 import { HoldKeeper } from './holdKeeper.js';
@@ -67,8 +67,8 @@
 
 const LIVES = ['u-1', 'u-2', 'u-3'];
 
-const reportEnds = (lives: readonly string[]): CrashNews => ({
-  ...NO_CRASH_NEWS,
+const reportEnds = (lives: readonly string[]): CrashReport => ({
+  ...EMPTY_CRASH_REPORT,
   ends: lives.map((lifeId) => ({
     lifeId,
     suspects: [{ digest: A, attemptId: `at ${lifeId}`, suspicion: 'strong' }],
@@ -168,7 +168,7 @@
 test('the daemon that saw it answered removes the row; the one that wrote it does when it lapses', async (context) => {
   const { book, keeper, clock, removed } = context;
   keeper.takeRecord(recordUntil(HOLD_MS), 7, OFFSET_MS);
-  book.takeNews({ ...NO_CRASH_NEWS, cleared: [A] });
+  book.takeNews({ ...EMPTY_CRASH_REPORT, cleared: [A] });
   await clock.tickAsync(1);
   assert.equal(removed, [], 'another daemon saw it');
   keeper.takeRecord(recordUntil(HOLD_MS), 8, OFFSET_MS);
--- a/packages/forwarding/src/daemon/crashWatch.ts
+++ b/packages/forwarding/src/daemon/crashWatch.ts
@@ -37,7 +37,7 @@
     this.book = new CrashBook({
       logger,
       random,
-      tell: (news) => getExchange().tellCrashes(news),
+      tell: (news) => getExchange().broadcastCrashReport(news),
     });
     this.keeper = new HoldKeeper({
       book: this.book,
--- a/packages/forwarding/src/daemon/createWatchers.ts
+++ b/packages/forwarding/src/daemon/createWatchers.ts
@@ -3,7 +3,7 @@
 import type { ConfigurationHolder } from '../configuration/configurationHolder.js';
 import { Freshness } from '../configuration/freshness.js';
 import type { StoreClock } from '../configuration/storeClock.js';
-import type { NewsBoard, PeerExchange } from '../peers/index.js';
+import type { ReaderRegistry, PeerExchange } from '../peers/index.js';
 import type { RolloutGuide } from '../rollouts/index.js';
 import { TableWatcher, type RowStore } from '../store/index.js';
 import type { UpstreamDirectory } from '../upstreams/index.js';
@@ -31,7 +31,7 @@
   readonly adapter: PlatformAdapter;
   readonly logger: Logger;
   readonly random: Random;
-  readonly board: NewsBoard;
+  readonly readerRegistry: ReaderRegistry;
   readonly exchange: PeerExchange;
   readonly configuration: ConfigurationHolder;
   readonly directory: UpstreamDirectory;
@@ -51,7 +51,7 @@
   store: parts.createStore(table),
   logger: parts.logger,
   random: parts.random,
-  board: parts.board,
+  readerRegistry: parts.readerRegistry,
   countDaemons: () => parts.exchange.daemons,
   getReaderRank: (lostReaders?: ReadonlySet<string>) => parts.exchange.getReaderRank(lostReaders),
   source: parts.exchange,
--- a/packages/forwarding/src/daemon/forwardDaemon.ts
+++ b/packages/forwarding/src/daemon/forwardDaemon.ts
@@ -9,12 +9,12 @@
 import type { RowStore, TableWatcher } from '../store/index.js';
 import { ColdGate, UpstreamDirectory } from '../upstreams/index.js';
 import {
-  NewsBoard,
+  ReaderRegistry,
   PeerDirectory,
   PeerExchange,
   PeerLoads,
   createUdpPort,
-  type Learned,
+  type SharedStatistics,
   type Peer,
   type UpstreamLoad,
 } from '../peers/index.js';
@@ -72,7 +72,7 @@
 
   readonly #peerLoads = new PeerLoads();
 
-  readonly #board: NewsBoard;
+  readonly #readerRegistry: ReaderRegistry;
 
   readonly #exchange: PeerExchange;
 
@@ -124,7 +124,7 @@
       (service) => this.#configuration.table?.findService(service)?.warmUp?.durationMs ?? 0,
     );
     const { vmName, sessionTtlMs, allowedExposure } = adapter.settings;
-    this.#board = new NewsBoard(vmName, adapter.settings.dataCentre);
+    this.#readerRegistry = new ReaderRegistry(vmName, adapter.settings.dataCentre);
     this.#rollouts = new RolloutGuide({
       logger,
       vm: vmName,
@@ -146,7 +146,7 @@
       holds: this.#crashes.keeper,
       logger,
       clock: this.#storeClock,
-      onPeer: (peer) => this.#exchange.putPeer(peer),
+      onPeer: (peer) => this.#exchange.addPeer(peer),
     });
     this.#exchange = this.#createExchange();
     this.#front = new FrontServer({
@@ -163,7 +163,7 @@
       getRepeatBudget: (service) => this.#budgets.get(service),
       getWorkPace: (service) => this.#paces.get(service),
       getModelDemand: (service) => this.#demands.get(service),
-      notePlaced: (work) => this.#exchange.noteWork(work),
+      notePlaced: (work) => this.#exchange.notePlacedWork(work),
       maxKeyAgeMs: adapter.settings.revokeDeadlineMs - REVOKE_MARGIN_MS,
     });
     this.#watchers = this.#createWatchers();
@@ -191,7 +191,7 @@
       self: this.#getSelf(),
       logger: this.#logger,
       signal: this.#stopping.signal,
-      isReading: () => this.#board.own.length > 0,
+      isReading: () => this.#readerRegistry.ownReports.length > 0,
     });
     setInterval(() => this.reload('check'), SETTINGS_CHECK_MS).unref();
     this.#logger.info({ event: 'started', settings: this.#settings }, 'started');
@@ -276,7 +276,7 @@
       adapter: this.#adapter,
       logger: this.#logger,
       random: this.#random,
-      board: this.#board,
+      readerRegistry: this.#readerRegistry,
       exchange: this.#exchange,
       configuration: this.#configuration,
       directory: this.#directory,
@@ -302,14 +302,14 @@
       seeds: this.#settings.seedAddresses,
       listSnapshots: () => this.#watchers.flatMap(({ snapshot }) => snapshot ?? []),
       loads: this.#peerLoads,
-      board: this.#board,
+      readerRegistry: this.#readerRegistry,
       logger: this.#logger,
       random: this.#random,
       processId: getEntropySeed(),
       readOwnLoads: () => this.#readOwnLoads(),
-      readOwnLearned: () => this.#readOwnLearned(),
-      takeCrashNews: (news) => this.#crashes.book.takeNews(news),
-      takeBadVersion: (news) => this.#rollouts.takeBadVersion(news),
+      readOwnStatistics: () => this.#readOwnStatistics(),
+      onCrashReport: (news) => this.#crashes.book.takeNews(news),
+      onBadVersion: (news) => this.#rollouts.takeBadVersion(news),
       meter: this.#metrics,
     });
   }
@@ -324,7 +324,7 @@
     return loads;
   }
 
-  #readOwnLearned(): Learned {
+  #readOwnStatistics(): SharedStatistics {
     const paces = this.#paces.entries.map(([service, pace]) => ({ service, ...pace.own }));
     const demands = this.#demands.entries.flatMap(([service, demand]) =>
       demand.own.map((one) => ({ service, ...one })),
@@ -355,7 +355,7 @@
       logger: this.#logger,
       random: this.#random,
       getWriterRank: () => this.#exchange.writerRank,
-      tellBadVersion: (news) => this.#exchange.tellBadVersion(news),
+      tellBadVersion: (news) => this.#exchange.sendBadVersion(news),
     });
   }
 }
--- a/packages/forwarding/src/peers/aggregatorElection.ts
+++ b/packages/forwarding/src/peers/aggregatorElection.ts
@@ -1,22 +1,27 @@
 /**
- * Who sums up what a data centre's daemons tell of their work, and tells it to all of them. No vote:
- * whoever is heard goes on, of two the one that counts more daemons, and after a silence the daemons
- * get their turn one after another in an order that all know. Two at once do little harm: each tells
- * what it was told.
+ * Selects the daemon of a data centre that aggregates the loads of all its daemons and sends them
+ * the result. There is no vote: the current aggregator keeps its role while it is heard. Of two,
+ * the one that counts more daemons wins, and after a silence the daemons become candidates one
+ * after another, in an order known to all. Two aggregators at once do little harm, because each
+ * sends what was reported to it.
  */
-import { AGGREGATOR_ORDER } from './peerOrder.js';
+import { AGGREGATOR_ORDER } from './rendezvousOrder.js';
 
 /**
- * Sums come each 150 ms, every other may be lost: silent for longer, the aggregator is dead, frozen or
- * cut off. Until the next one speaks daemons place by what they knew and by their own work.
+ * Aggregates are sent every 150 ms, and every other one may be lost. After a longer silence the
+ * aggregator is considered dead, frozen or disconnected. Until the next one takes over, daemons
+ * place work by the last known loads and their own.
  */
-export const AGGREGATOR_SILENCE_MS = 600;
+export const AGGREGATOR_TIMEOUT_MS = 600;
 
-/** The next in the order speaks within a tick and is heard soon after; else the turn goes on. */
-const TURN_MS = 300;
+/**
+ * The next candidate sends an aggregate within a tick and is heard soon after; otherwise the one
+ * after it becomes the candidate.
+ */
+const CANDIDATE_INTERVAL_MS = 300;
 
-/** Of a sum: who told it, and how many daemons it counts. */
-export interface SumOrigin {
+/** The sender of an aggregate and the number of daemons included in it. */
+export interface AggregateSource {
   readonly vm: string;
   readonly members: number;
 }
@@ -24,89 +29,93 @@
 export class AggregatorElection {
   readonly #self: string;
 
-  readonly #listRanked: () => readonly string[];
+  readonly #listCandidates: () => readonly string[];
 
-  /** Whoever sums up, as last heard; undefined before any. */
+  /** The last known aggregator; undefined before the first aggregate. */
   #current: string | undefined;
 
-  /** Daemons that its last sum counted. */
-  #members = 0;
+  /** Number of daemons included in its last aggregate. */
+  #memberCount = 0;
 
-  /** When it was last heard, or when waiting for one began. */
-  #heardAtMs: number;
+  /** When the aggregator was last heard, or when waiting for the first one began. */
+  #lastHeardAtMs: number;
 
-  /** `listRanked`: the data centre's daemons in the common order, this one among them. */
-  constructor(self: string, listRanked: () => readonly string[], nowMs: number) {
+  /** `listCandidates`: the daemons of the data centre in `AGGREGATOR_ORDER`, including this one. */
+  constructor(self: string, listCandidates: () => readonly string[], nowMs: number) {
     this.#self = self;
-    this.#listRanked = listRanked;
-    this.#heardAtMs = nowMs;
+    this.#listCandidates = listCandidates;
+    this.#lastHeardAtMs = nowMs;
   }
 
-  /** To whom work is told; undefined while nobody was heard and the first silence is not over. */
-  find(nowMs: number): string | undefined {
+  /**
+   * The daemon to which loads are reported; undefined before the first aggregate and until the
+   * first time-out.
+   */
+  findAggregator(nowMs: number): string | undefined {
     if (this.#current === this.#self) {
       return this.#self;
     }
-    const silentMs = nowMs - this.#heardAtMs;
-    if (silentMs <= AGGREGATOR_SILENCE_MS) {
+    const silentMs = nowMs - this.#lastHeardAtMs;
+    if (silentMs <= AGGREGATOR_TIMEOUT_MS) {
       return this.#current;
     }
-    const next = this.#findNext(silentMs);
-    if (next === this.#self) {
+    const candidate = this.#findCandidate(silentMs);
+    if (candidate === this.#self) {
       this.#current = this.#self;
-      this.#members = 0;
+      this.#memberCount = 0;
     }
-    return next;
+    return candidate;
   }
 
   isSelf(nowMs: number): boolean {
-    return this.find(nowMs) === this.#self;
+    return this.findAggregator(nowMs) === this.#self;
   }
 
-  /** A sum came from this daemon. False when another one's sums are taken. */
-  noteSum({ vm, members }: SumOrigin, nowMs: number): boolean {
-    if (this.#isTaken({ vm, members }, nowMs)) {
+  /** Returns false if another daemon's aggregates are preferred. */
+  handleAggregate({ vm, members }: AggregateSource, nowMs: number): boolean {
+    if (this.#isPreferred({ vm, members }, nowMs)) {
       this.#current = vm;
-      this.#members = members;
-      this.#heardAtMs = nowMs;
+      this.#memberCount = members;
+      this.#lastHeardAtMs = nowMs;
       return true;
     }
     return false;
   }
 
-  /** This daemon sums up, and counts so many others. */
-  noteOwnSum(members: number): void {
-    this.#members = members;
+  /** Records how many other daemons this daemon's own aggregate includes. */
+  noteOwnAggregate(members: number): void {
+    this.#memberCount = members;
   }
 
   /**
-   * This daemon stood still. If it summed up, another does so by now, and its own sums would lack all
-   * that it was not told meanwhile: it waits for the other's first.
+   * Called when this daemon was suspended. If it was the aggregator, another daemon has taken over
+   * by now, and its own aggregates would lack everything reported meanwhile; so it first waits for
+   * the other's.
    */
-  notePause(nowMs: number): void {
+  handlePause(nowMs: number): void {
     if (this.#current === this.#self) {
       this.#current = undefined;
     }
-    this.#heardAtMs = nowMs;
+    this.#lastHeardAtMs = nowMs;
   }
 
   /**
-   * Of two that are heard the one counts that was told of more daemons: one that was cut off alone
-   * comes back and sums up nothing but its own.
+   * Of two live aggregators, the one that counts more daemons wins: one that was disconnected comes
+   * back with nothing but its own loads.
    */
-  #isTaken({ vm, members }: SumOrigin, nowMs: number): boolean {
+  #isPreferred({ vm, members }: AggregateSource, nowMs: number): boolean {
     const current = this.#current;
-    const isSilent = current !== this.#self && nowMs - this.#heardAtMs > AGGREGATOR_SILENCE_MS;
+    const isSilent = current !== this.#self && nowMs - this.#lastHeardAtMs > AGGREGATOR_TIMEOUT_MS;
     if (current === undefined || current === vm || isSilent) {
       return true;
     }
-    const isEqual = members === this.#members;
-    return isEqual ? AGGREGATOR_ORDER.isBefore(vm, current) : members > this.#members;
+    const isEqual = members === this.#memberCount;
+    return isEqual ? AGGREGATOR_ORDER.isBefore(vm, current) : members > this.#memberCount;
   }
 
-  #findNext(silentMs: number): string | undefined {
-    const others = this.#listRanked().filter((vm) => vm !== this.#current);
-    const turn = Math.floor((silentMs - AGGREGATOR_SILENCE_MS) / TURN_MS);
-    return others[turn % others.length];
+  #findCandidate(silentMs: number): string | undefined {
+    const candidates = this.#listCandidates().filter((vm) => vm !== this.#current);
+    const candidateIndex = Math.floor((silentMs - AGGREGATOR_TIMEOUT_MS) / CANDIDATE_INTERVAL_MS);
+    return candidates[candidateIndex % candidates.length];
   }
 }
--- a/packages/forwarding/src/peers/changesMessage.ts
+++ b/packages/forwarding/src/peers/changesMessage.ts
@@ -1,22 +1,22 @@
-/** Changes of a table that a reader passes on to its data centre: a datagram of packed JSON. */
-import { packDatagram, readNamed } from './datagram.js';
+/** Changes of a table that a reader relays to other daemons, as compressed JSON. */
+import { compressDatagram, readMessageParts } from './datagram.js';
 import type { StoreChange } from '../store/types.js';
 
-/** All changes of a table after one version of the store up to another. */
+/** All changes of a table after the store version `after`, up to and including `upTo`. */
 export interface TableChanges {
   readonly table: string;
   readonly after: number;
   readonly upTo: number;
-  /** The store's steady clock when it told them. */
+  /** The store's monotonic clock when it returned the changes. */
   readonly serverTimeMs: number;
   readonly items: readonly StoreChange[];
 }
 
 /**
- * Larger ones are not passed on: a datagram holds 64 KB, several readers tell twenty others each over
- * 10 Mbit/s, and each daemon can read them itself.
+ * Larger messages are not relayed: a datagram holds 64 KB, several readers each send to twenty
+ * daemons over 10 Mbit/s, and each daemon can read the changes itself.
  */
-const MAX_BYTES = 16_000;
+const MAX_MESSAGE_BYTES = 16_000;
 
 type WireRow = readonly [key: string, version: number, value: string | null];
 type WireChanges = readonly [
@@ -31,13 +31,13 @@
   readonly changes: WireChanges;
 }
 
-/** Undefined when they are too large to be passed on. */
+/** Undefined if the changes are too large to be relayed. */
 export const encodeChanges = (changes: TableChanges): Buffer | undefined => {
   const { table, after, upTo, serverTimeMs, items } = changes;
   const rows = items.map(({ key, version, value }): WireRow => [key, version, value ?? null]);
   const message: WireMessage = { changes: [table, after, upTo, serverTimeMs, rows] };
-  const bytes = packDatagram(JSON.stringify(message));
-  return bytes.length <= MAX_BYTES ? bytes : undefined;
+  const bytes = compressDatagram(JSON.stringify(message));
+  return bytes.length <= MAX_MESSAGE_BYTES ? bytes : undefined;
 };
 
 const isWireRow = (value: unknown): value is WireRow =>
@@ -49,15 +49,15 @@
 const toChange = ([key, version, value]: WireRow): StoreChange =>
   value === null ? { key, version } : { key, version, value };
 
-/** Undefined when the decoded datagram holds no changes. */
-export const restoreChanges = (message: unknown): TableChanges | undefined => {
-  const [table, after, upTo, serverTimeMs, rows] = readNamed(message, 'changes') ?? [];
-  const isOurs =
+/** Undefined if the decoded datagram contains no valid changes. */
+export const decodeChanges = (message: unknown): TableChanges | undefined => {
+  const [table, after, upTo, serverTimeMs, rows] = readMessageParts(message, 'changes') ?? [];
+  const isValid =
     typeof table === 'string' &&
     typeof after === 'number' &&
     typeof upTo === 'number' &&
     typeof serverTimeMs === 'number' &&
     Array.isArray(rows) &&
     rows.every(isWireRow);
-  return isOurs ? { table, after, upTo, serverTimeMs, items: rows.map(toChange) } : undefined;
+  return isValid ? { table, after, upTo, serverTimeMs, items: rows.map(toChange) } : undefined;
 };
--- a/packages/forwarding/src/peers/changesRelay.ts
+++ b/packages/forwarding/src/peers/changesRelay.ts
@@ -1,38 +1,44 @@
-/** Passes on what readers learn of the store's tables. */
+/** Relays changes of the store's tables from readers to the other daemons. */
 import { encodeChanges, type TableChanges } from './changesMessage.js';
-import { SMALL_FLEET, type NewsBoard } from './newsBoard.js';
+import { MAX_MESH_DAEMONS, type ReaderRegistry } from './readerRegistry.js';
 import type { PeerDirectory } from './peerDirectory.js';
 import type { PeerMessenger } from './peerMessenger.js';
 
 export class ChangesRelay {
   readonly #directory: PeerDirectory;
 
-  readonly #board: NewsBoard;
+  readonly #readerRegistry: ReaderRegistry;
 
   readonly #messenger: PeerMessenger;
 
-  constructor(directory: PeerDirectory, board: NewsBoard, messenger: PeerMessenger) {
+  constructor(directory: PeerDirectory, readerRegistry: ReaderRegistry, messenger: PeerMessenger) {
     this.#directory = directory;
-    this.#board = board;
+    this.#readerRegistry = readerRegistry;
     this.#messenger = messenger;
   }
 
-  /** What is new here goes on to the data centre, where one daemon alone was told. */
-  take(changes: TableChanges, bytes: Buffer, host: string): void {
-    const isNew = this.#board.takeChanges(changes);
-    if (isNew && !this.#isSmallFleet && this.#directory.isFar(host)) {
+  /**
+   * Relays changes that are new here to the data centre: in a large fleet, a remote reader sends
+   * them to only one of its daemons.
+   */
+  receive(changes: TableChanges, bytes: Buffer, host: string): void {
+    const isNew = this.#readerRegistry.receiveChanges(changes);
+    if (isNew && !this.#isSmallFleet && this.#directory.isRemote(host)) {
       this.#messenger.sendTo(this.#directory.local, bytes);
     }
   }
 
-  /** What a reader learns is told at once: the others ask the store for it only if they miss it. */
-  passOn(changes: TableChanges): void {
+  /**
+   * Sends changes that this daemon read to other daemons at once, so that they need to ask the
+   * store only after a loss.
+   */
+  broadcast(changes: TableChanges): void {
     const { all, local } = this.#directory;
-    const peers = this.#isSmallFleet ? all : [...local, ...this.#directory.pickFar()];
-    this.#messenger.sendPacked(peers, encodeChanges(changes));
+    const peers = this.#isSmallFleet ? all : [...local, ...this.#directory.pickRemotePeers()];
+    this.#messenger.sendIfEncoded(peers, encodeChanges(changes));
   }
 
   get #isSmallFleet(): boolean {
-    return this.#directory.daemons <= SMALL_FLEET;
+    return this.#directory.daemonCount <= MAX_MESH_DAEMONS;
   }
 }
--- a/packages/forwarding/src/peers/crashMessage.test.ts
+++ b/packages/forwarding/src/peers/crashMessage.test.ts
@@ -1,12 +1,12 @@
-/** News of ends as datagrams: what is sent comes back, and what others send is checked. */
+/** Encoding of crash reports and validation of received ones. */
 import { asId, type RequestDigest } from '@snipehaven/common';
 import type { Suspect } from '@snipehaven/policy';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { encodeCrashNews, restoreCrashNews, type CrashNews } from './crashMessage.js';
+import { encodeCrashReport, decodeCrashReport, type CrashReport } from './crashMessage.js';
 import { parseDatagram } from './datagram.js';
 
-const test = suite('news of ends');
+const test = suite('crash report');
 
 const suspect = (digest: string, suspicion: Suspect['suspicion']): Suspect => ({
   digest: asId<RequestDigest>(digest),
@@ -14,29 +14,29 @@
   suspicion,
 });
 
-const pass = (news: CrashNews): CrashNews | undefined =>
-  restoreCrashNews(parseDatagram(encodeCrashNews(news)));
+const roundTrip = (report: CrashReport): CrashReport | undefined =>
+  decodeCrashReport(parseDatagram(encodeCrashReport(report)));
 
-test('come back as they were sent, the most suspect first', () => {
-  const news: CrashNews = {
+test('decodes to what was encoded, the most suspect request first', () => {
+  const report: CrashReport = {
     ends: [{ lifeId: 'u-1', suspects: [suspect('a', 'strong'), suspect('b', 'weak')] }],
     cleared: [asId<RequestDigest>('c')],
     alive: ['u-2'],
   };
-  assert.equal(pass(news), news);
+  assert.equal(roundTrip(report), report);
 });
 
-test('name a bounded number of requests, and leave out the least suspect', () => {
+test('contains a limited number of suspects and omits the least suspect', () => {
   const weak = Array.from({ length: 5_000 }, (_, index) => suspect(`w-${index}`, 'weak'));
   const suspects = [...weak, suspect('a', 'strong')];
-  const news = { ends: [{ lifeId: 'u-1', suspects }], cleared: [], alive: [] };
-  const [end] = pass(news)?.ends ?? [];
+  const report = { ends: [{ lifeId: 'u-1', suspects }], cleared: [], alive: [] };
+  const [end] = roundTrip(report)?.ends ?? [];
   assert.ok((end?.suspects.length ?? 0) < 1_000);
   assert.equal(end?.suspects[0], suspect('a', 'strong'));
-  assert.ok(encodeCrashNews(news).length < 64_000);
+  assert.ok(encodeCrashReport(report).length < 64_000);
 });
 
-test('that are malformed are none', () => {
+test('is not decoded if malformed', () => {
   for (const crashes of [
     undefined,
     [[], []],
@@ -45,7 +45,7 @@
     [[['', []]], [], []],
     [[], [5], []],
   ]) {
-    assert.is(restoreCrashNews({ crashes }), undefined);
+    assert.is(decodeCrashReport({ crashes }), undefined);
   }
 });
 
--- a/packages/forwarding/src/peers/crashMessage.ts
+++ b/packages/forwarding/src/peers/crashMessage.ts
@@ -1,4 +1,7 @@
-/** What daemons tell each other of upstreams that ended and of requests cleared: datagrams of packed JSON. */
+/**
+ * Messages about upstreams that ended and requests that were cleared of suspicion, as compressed
+ * JSON.
+ */
 import { asId, type RequestDigest } from '@snipehaven/common';
 import {
   fromSuspectTuple,
@@ -6,19 +9,22 @@
   type EndReport,
   type SuspectTuple,
 } from '@snipehaven/policy';
-import { packDatagram, readNamed } from './datagram.js';
+import { compressDatagram, readMessageParts } from './datagram.js';
 
-export interface CrashNews {
+export interface CrashReport {
   readonly ends: readonly EndReport[];
-  /** Answered in whole since an upstream ended under them. */
+  /** Requests that were answered completely after an upstream had ended while running them. */
   readonly cleared: readonly RequestDigest[];
-  /** Lives of upstreams that were taken for ended and are not. */
+  /** Life ids of upstreams that were reported as ended but are alive. */
   readonly alive: readonly string[];
 }
 
-export const NO_CRASH_NEWS: CrashNews = { ends: [], cleared: [], alive: [] };
+export const EMPTY_CRASH_REPORT: CrashReport = { ends: [], cleared: [], alive: [] };
 
-/** Requests named of one end, the most suspect first; more than an engine takes from one daemon. */
+/**
+ * Suspects reported per ended upstream, most suspect first; more than an engine accepts from one
+ * daemon.
+ */
 const MAX_SUSPECTS = 400;
 
 type WireEnd = readonly [lifeId: string, suspects: readonly SuspectTuple[]];
@@ -32,37 +38,42 @@
 }
 
 const toWireEnd = ({ lifeId, suspects }: EndReport): WireEnd => {
-  const worstFirst = suspects.map(toSuspectTuple).sort(([, a], [, b]) => b - a);
-  return [lifeId, worstFirst.slice(0, MAX_SUSPECTS)];
+  const mostSuspectFirst = suspects.map(toSuspectTuple).sort(([, a], [, b]) => b - a);
+  return [lifeId, mostSuspectFirst.slice(0, MAX_SUSPECTS)];
 };
 
-export const encodeCrashNews = ({ ends, cleared, alive }: CrashNews): Buffer => {
+export const encodeCrashReport = ({ ends, cleared, alive }: CrashReport): Buffer => {
   const message: WireMessage = { crashes: [ends.map(toWireEnd), cleared, alive] };
-  return packDatagram(JSON.stringify(message));
+  return compressDatagram(JSON.stringify(message));
 };
 
-const isText = (value: unknown): value is string => typeof value === 'string' && value !== '';
+const isNonEmptyString = (value: unknown): value is string =>
+  typeof value === 'string' && value !== '';
 
-const isTexts = (value: unknown): value is readonly string[] =>
-  Array.isArray(value) && value.every(isText);
+const isNonEmptyStrings = (value: unknown): value is readonly string[] =>
+  Array.isArray(value) && value.every(isNonEmptyString);
 
 const isSuspectTuple = (value: unknown): value is SuspectTuple =>
   Array.isArray(value) &&
-  isText(value[0]) &&
+  isNonEmptyString(value[0]) &&
   (value[1] === 0 || value[1] === 1) &&
   typeof value[2] === 'string';
 
 const isWireEnd = (value: unknown): value is WireEnd =>
   Array.isArray(value) &&
-  isText(value[0]) &&
+  isNonEmptyString(value[0]) &&
   Array.isArray(value[1]) &&
   value[1].every(isSuspectTuple);
 
-/** Undefined when the decoded datagram holds no such news. */
-export const restoreCrashNews = (message: unknown): CrashNews | undefined => {
-  const [ends, cleared, alive] = readNamed(message, 'crashes') ?? [];
-  const isOurs = Array.isArray(ends) && ends.every(isWireEnd) && isTexts(cleared) && isTexts(alive);
-  return isOurs
+/** Undefined if the decoded datagram is not a valid crash report. */
+export const decodeCrashReport = (message: unknown): CrashReport | undefined => {
+  const [ends, cleared, alive] = readMessageParts(message, 'crashes') ?? [];
+  const isValid =
+    Array.isArray(ends) &&
+    ends.every(isWireEnd) &&
+    isNonEmptyStrings(cleared) &&
+    isNonEmptyStrings(alive);
+  return isValid
     ? {
         ends: ends.map(([lifeId, suspects]) => ({
           lifeId,
--- a/packages/forwarding/src/peers/datagram.test.ts
+++ b/packages/forwarding/src/peers/datagram.test.ts
@@ -1,10 +1,10 @@
-/** Datagrams that anyone may have sent. */
+/** Robustness of the decoders against arbitrary datagrams. */
 import fc from 'fast-check';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { restoreChanges } from './changesMessage.js';
-import { packDatagram, parseDatagram } from './datagram.js';
-import { restoreLoadMessage } from './loadMessage.js';
+import { decodeChanges } from './changesMessage.js';
+import { compressDatagram, parseDatagram } from './datagram.js';
+import { decodeLoadMessage } from './loadMessage.js';
 
 const SEED = 20_261;
 const DATAGRAMS = 10_000;
@@ -27,16 +27,16 @@
 const datagram = fc.oneof(
   fc.uint8Array().map((bytes) => Buffer.from(bytes)),
   message.map((one) => Buffer.from(JSON.stringify(one) ?? '')),
-  message.map((one) => packDatagram(JSON.stringify(one) ?? '')),
+  message.map((one) => compressDatagram(JSON.stringify(one) ?? '')),
 );
 
-// Symptom: a daemon ends, or thinks an upstream has less than no work. Sequence: a stray datagram comes.
-// Cause: a decoder that trusts what anyone may send.
-test('whatever a datagram holds, it is taken whole or not at all', () => {
+// Guards against a crash or negative loads after a stray datagram, caused by a decoder that trusts
+// its input.
+test('any datagram is either decoded completely or ignored', () => {
   const property = fc.property(datagram, (bytes) => {
     const parsed = parseDatagram(bytes);
-    restoreChanges(parsed);
-    const loads = restoreLoadMessage(parsed)?.loads.values() ?? [];
+    decodeChanges(parsed);
+    const loads = decodeLoadMessage(parsed)?.loads.values() ?? [];
     for (const { work, requests } of loads) {
       assert.ok(work >= 0 && requests >= 0);
     }
--- /dev/null
+++ b/packages/forwarding/src/peers/datagramDispatch.ts
@@ -0,0 +1,67 @@
+/** Decodes datagrams and dispatches them by message type. */
+import { decodeChanges, type TableChanges } from './changesMessage.js';
+import { decodeCrashReport, type CrashReport } from './crashMessage.js';
+import { decodeJoinMessage, type JoinMessage } from './joinMessages.js';
+import { decodeLoadMessage } from './loadMessage.js';
+import type { LoadDatagram } from './loadSharingStrategy.js';
+import { decodeBadVersion, type BadVersionNews } from './badVersionMessage.js';
+
+/** A decoded datagram with its raw bytes. */
+export interface ReceivedDatagram {
+  readonly value: unknown;
+  readonly bytes: Buffer;
+  /** The sender's address. */
+  readonly host: string;
+}
+
+export interface MessageHandlers {
+  readonly loads: (datagram: LoadDatagram) => void;
+  readonly changes: (changes: TableChanges, datagram: ReceivedDatagram) => void;
+  readonly join: (message: JoinMessage) => void;
+  readonly crashes: (report: CrashReport) => void;
+  readonly badVersion: (report: BadVersionNews) => void;
+}
+
+/** Returns the message type, or undefined if the handler does not know the message. */
+export type DatagramHandler = (datagram: ReceivedDatagram) => string | undefined;
+
+const createHandler =
+  <Message>(
+    restore: (value: unknown) => Message | undefined,
+    handle: (message: Message, datagram: ReceivedDatagram) => void,
+    getKind: (message: Message) => string,
+  ): DatagramHandler =>
+  (datagram) => {
+    const message = restore(datagram.value);
+    if (message === undefined) {
+      return undefined;
+    }
+    handle(message, datagram);
+    return getKind(message);
+  };
+
+/** Sorted by how frequent the messages are. */
+export const createDatagramHandlers = (handlers: MessageHandlers): readonly DatagramHandler[] => [
+  createHandler(
+    decodeLoadMessage,
+    (message, { bytes, host }) => handlers.loads({ message, bytes, host }),
+    ({ scope }) => scope,
+  ),
+  createHandler(decodeChanges, handlers.changes, () => 'changes'),
+  createHandler(decodeJoinMessage, handlers.join, ({ kind }) => kind),
+  createHandler(decodeCrashReport, handlers.crashes, () => 'crashes'),
+  createHandler(decodeBadVersion, handlers.badVersion, () => 'badVersion'),
+];
+
+export const dispatchDatagram = (
+  datagramHandlers: readonly DatagramHandler[],
+  datagram: ReceivedDatagram,
+): string => {
+  for (const handler of datagramHandlers) {
+    const kind = handler(datagram);
+    if (kind !== undefined) {
+      return kind;
+    }
+  }
+  return 'stray';
+};
--- a/packages/forwarding/src/peers/datagramPort.ts
+++ b/packages/forwarding/src/peers/datagramPort.ts
@@ -1,25 +1,25 @@
-/** Where a daemon sends and gets datagrams; tests play a network of many daemons in its place. */
+/** Sends and receives datagrams; tests replace it by a simulated network of many daemons. */
 import { createSocket } from 'node:dgram';
 import { getErrorMessage, type Logger } from '@snipehaven/common';
 import type { SocketAddress } from '../types.js';
 
 export interface DatagramPort {
-  /** `host`: the sender's. */
-  open(take: (bytes: Buffer, host: string) => void): Promise<void>;
+  /** `host`: the sender's address. */
+  open(onDatagram: (bytes: Buffer, host: string) => void): Promise<void>;
   send(bytes: Buffer, to: SocketAddress): void;
   close(): void;
 }
 
-/** A UDP socket at the address. */
+/** Opens a UDP socket bound to the address. */
 export const createUdpPort = (address: SocketAddress, logger: Logger): DatagramPort => {
   const socket = createSocket('udp4');
-  const noteFailure = (error: Error): void => {
+  const logFailure = (error: Error): void => {
     logger.warn({ event: 'datagramFailed', cause: getErrorMessage(error) }, 'datagram failed');
   };
   return {
-    open: async (take) => {
-      socket.on('message', (bytes, { address: host }) => take(bytes, host));
-      socket.on('error', noteFailure);
+    open: async (onDatagram) => {
+      socket.on('message', (bytes, { address: host }) => onDatagram(bytes, host));
+      socket.on('error', logFailure);
       await new Promise<void>((resolve) => {
         socket.bind(address.port, address.host, resolve);
       });
--- a/packages/forwarding/src/peers/index.ts
+++ b/packages/forwarding/src/peers/index.ts
@@ -1,4 +1,4 @@
-export { NO_CRASH_NEWS, type CrashNews } from './crashMessage.js';
+export { EMPTY_CRASH_REPORT, type CrashReport } from './crashMessage.js';
 export { createUdpPort, type DatagramPort } from './datagramPort.js';
 export { PeerExchange } from './peerExchange.js';
 export { PeerDirectory, type Peer } from './peerDirectory.js';
@@ -6,10 +6,15 @@
 export {
   NO_ROLLOUT_COUNTS,
   combineRolloutCounts,
-  type Learned,
+  type SharedStatistics,
   type RolloutCounts,
   type ServiceRolloutCounts,
-} from './learned.js';
+} from './sharedStatistics.js';
 export type { UpstreamLoad } from './loadMessage.js';
-export type { BadVersionNews } from './verdictMessage.js';
-export { NewsBoard, SMALL_FLEET, type BestNews, type NewsQuery } from './newsBoard.js';
+export type { BadVersionNews } from './badVersionMessage.js';
+export {
+  ReaderRegistry,
+  MAX_MESH_DAEMONS,
+  type LatestReport,
+  type ReportQuery,
+} from './readerRegistry.js';
--- a/packages/forwarding/src/peers/largeFleet.test.ts
+++ b/packages/forwarding/src/peers/largeFleet.test.ts
@@ -1,10 +1,8 @@
-/**
- * Many daemons that tell each other of their work: what it costs each, how old news are, and failures.
- */
+/** Load sharing in large fleets: its cost per daemon, the age of the loads, and failures. */
 import { createRandom } from '@snipehaven/common';
 import * as assert from 'uvu/assert';
-import { AggregatorElection, AGGREGATOR_SILENCE_MS } from './aggregatorElection.js';
-import { AGGREGATOR_ORDER } from './peerOrder.js';
+import { AggregatorElection, AGGREGATOR_TIMEOUT_MS } from './aggregatorElection.js';
+import { AGGREGATOR_ORDER } from './rendezvousOrder.js';
 import type { DaemonFleet, FleetMember, FleetOptions } from './testSupport/daemonFleet.js';
 import { createFleet, createFleetSuite, type FleetContext } from './testSupport/fleetSuite.js';
 
@@ -14,10 +12,10 @@
 const SETTLE_MS = 3_000;
 
 /**
- * Sums pass at most two ticks in a data centre and four beyond; the rest is the silence of a lost
- * datagram.
+ * An aggregate takes at most two ticks in a data centre and four to another; the rest allows for
+ * the loss of one datagram.
  */
-const NEWS_MS = 1_000;
+const PROPAGATION_MS = 1_000;
 
 const startFleet = async (context: FleetContext, options: FleetOptions): Promise<DaemonFleet> => {
   const fleet = createFleet(context, options);
@@ -26,7 +24,7 @@
   return fleet;
 };
 
-const put = ({ own }: FleetMember, requests: number): void => {
+const setOwnLoad = ({ ownLoads: own }: FleetMember, requests: number): void => {
   own.set(UPSTREAM, { work: requests * 100, requests });
 };
 
@@ -35,39 +33,45 @@
   const [first] = AGGREGATOR_ORDER.rank(local.map(({ self }) => self.vm));
   const found = local.find(({ self }) => self.vm === first);
   if (found === undefined) {
-    throw new Error('no daemon there');
+    throw new Error(`no aggregator found in ${dataCentre}`);
   }
   return found;
 };
 
-const isTold = (member: FleetMember, total: number): boolean => {
-  const own = member.own.get(UPSTREAM)?.requests ?? 0;
+const hasReceived = (member: FleetMember, total: number): boolean => {
+  const own = member.ownLoads.get(UPSTREAM)?.requests ?? 0;
   return member.loads.get(UPSTREAM).requests + own === total;
 };
 
-const countTold = (members: readonly FleetMember[], total: number): number =>
-  members.filter((member) => isTold(member, total)).length;
+const countReceived = (members: readonly FleetMember[], total: number): number =>
+  members.filter((member) => hasReceived(member, total)).length;
 
-const PLACING_MS = 10;
-const placing = createRandom(7);
+const PLACEMENT_INTERVAL_MS = 10;
+const placementRandom = createRandom(7);
 
-/** Each daemon begins three requests a second, at one of sixty upstreams, and has a few at once. */
+/**
+ * Each daemon starts three requests a second, each at one of sixty upstreams, and runs a few at
+ * once.
+ */
 const placeWork = ({ members }: DaemonFleet): void => {
-  const begun = Math.round((members.length * 3 * PLACING_MS) / 1_000);
-  for (let index = 0; index < begun; index += 1) {
-    const member = members[placing.nextInt(members.length)];
-    if (member !== undefined && member.own.size > 4) {
-      member.own.clear();
+  const startedCount = Math.round((members.length * 3 * PLACEMENT_INTERVAL_MS) / 1_000);
+  for (let index = 0; index < startedCount; index += 1) {
+    const member = members[placementRandom.nextInt(members.length)];
+    if (member !== undefined && member.ownLoads.size > 4) {
+      member.ownLoads.clear();
     }
-    member?.own.set(`u-${placing.nextInt(60)}`, { work: placing.nextInt(9_000), requests: 1 });
+    member?.ownLoads.set(`u-${placementRandom.nextInt(60)}`, {
+      work: placementRandom.nextInt(9_000),
+      requests: 1,
+    });
   }
 };
 
-test('each daemon counts the work of all others once, its own aside', async (context) => {
+test('each daemon counts the loads of all others once, excluding its own', async (context) => {
   const { members } = await startFleet(context, { daemons: 60, dataCentres: 3 });
-  members.forEach((member, index) => put(member, 1 + (index % 3)));
-  context.clock.tick(NEWS_MS);
-  assert.is(countTold(members, 120), 60);
+  members.forEach((member, index) => setOwnLoad(member, 1 + (index % 3)));
+  context.clock.tick(PROPAGATION_MS);
+  assert.is(countReceived(members, 120), 60);
 });
 
 test('each daemon sums the roll-out counts of its peers once, excluding its own', async (context) => {
@@ -90,10 +94,10 @@
   }
 });
 
-// Symptom: 195 daemons send 16,000 datagrams a second, and a minute of them takes half an hour to play.
-// Sequence: each tells all others of its data centre whatever it places. Cause: the cost of a daemon
-// grows with their number. Before, a daemon of 195 got 85 datagrams a second and sent as many.
-test('what a daemon sends and gets is bounded whatever their number', async (context) => {
+// Guards against traffic per daemon that grows with the size of the fleet. In a full mesh each of
+// 195 daemons sent and received 85 datagrams a second, 16,000 in total, and a minute of it took
+// half an hour to simulate.
+test('the traffic of a daemon is bounded in fleets of any size', async (context) => {
   for (const [daemons, dataCentres] of [
     [19, 5],
     [88, 3],
@@ -101,7 +105,7 @@
     [400, 7],
   ] as const) {
     const fleet = await startFleet(context, { daemons, dataCentres });
-    const work = setInterval(() => placeWork(fleet), PLACING_MS);
+    const work = setInterval(() => placeWork(fleet), PLACEMENT_INTERVAL_MS);
     const { sent, received, receivedBytes } = fleet.measureTraffic(5_000);
     clearInterval(work);
     fleet.stop();
@@ -116,20 +120,20 @@
   const [first] = members;
   assert.ok(first);
   const local = members.filter(({ self }) => self.dataCentre === first.self.dataCentre);
-  let told = 0;
+  let received = 0;
   for (let round = 1; round <= 10; round += 1) {
-    put(first, round);
-    first.exchange.noteWork(5_000);
+    setOwnLoad(first, round);
+    first.exchange.notePlacedWork(5_000);
     context.clock.tick(300);
-    told += countTold(local, round);
+    received += countReceived(local, round);
     context.clock.tick(700);
   }
-  assert.ok(told >= 0.9 * 10 * local.length, `${told} of ${10 * local.length}`);
+  assert.ok(received >= 0.9 * 10 * local.length, `${received} of ${10 * local.length}`);
 });
 
-// Symptom: a daemon that has just started leaves second runs out, as it takes engines for slow.
-// Sequence: it has seen no answer yet. Cause: what the others learned is not told to it.
-test('each daemon knows what all others learned of engines', async (context) => {
+// Guards against a freshly started daemon that omits hedged runs because it takes engines for slow:
+// it has seen no answer yet and does not receive what the others learned.
+test('each daemon receives the statistics of all others', async (context) => {
   const { members } = await startFleet(context, { daemons: 60, dataCentres: 3 });
   for (const { loads } of members) {
     const work = loads.findPace('s')?.work ?? 0;
@@ -139,9 +143,9 @@
   }
 });
 
-// Symptom: a data centre places blindly. Sequence: the daemon that sums up is killed. Cause: nobody
-// takes over.
-test('another daemon sums up once the first is dead, and a third after both', async (context) => {
+// Guards against a killed aggregator that nobody replaces: its data centre would place work without
+// knowing the loads.
+test('a second daemon becomes aggregator after the first is killed, and then a third', async (context) => {
   const fleet = await startFleet(context, { daemons: 60, dataCentres: 3 });
   const [dead, next] = AGGREGATOR_ORDER.rank(
     fleet.members.filter(({ self }) => self.dataCentre === 'dc-0').map(({ self }) => self.vm),
@@ -152,66 +156,66 @@
   };
   kill(dead);
   context.clock.tick(SETTLE_MS);
-  const living = fleet.members.filter(({ self }) => self.vm !== dead);
-  living.forEach((member) => put(member, 1));
-  context.clock.tick(NEWS_MS);
-  assert.is(countTold(living, 59), 59);
+  const remaining = fleet.members.filter(({ self }) => self.vm !== dead);
+  remaining.forEach((member) => setOwnLoad(member, 1));
+  context.clock.tick(PROPAGATION_MS);
+  assert.is(countReceived(remaining, 59), 59);
   kill(next);
   context.clock.tick(SETTLE_MS);
-  const rest = living.filter(({ self }) => self.vm !== next);
-  assert.is(countTold(rest, 58), 58);
+  const rest = remaining.filter(({ self }) => self.vm !== next);
+  assert.is(countReceived(rest, 58), 58);
 });
 
-// Symptom: all daemons of a data centre think its engines idle. Sequence: the daemon that sums up is
-// cut off for two seconds and comes back with a sum of its own work only. Cause: it is first in the
-// order, so all believe it.
-test('a daemon that was cut off does not go on to sum up what it was not told', async (context) => {
+// Guards against a returning aggregator that all daemons believe because it is first in the order.
+// It was disconnected for two seconds and includes only its own loads, so the engines would look
+// idle to the whole data centre.
+test('an aggregator that was disconnected does not send incomplete aggregates afterwards', async (context) => {
   const fleet = await startFleet(context, { daemons: 60, dataCentres: 3 });
   const { vm, host } = findAggregator(fleet, 'dc-0').self;
   const others = fleet.members.filter(({ self }) => self.vm !== vm);
-  others.forEach((member) => put(member, 1));
-  context.clock.tick(NEWS_MS);
+  others.forEach((member) => setOwnLoad(member, 1));
+  context.clock.tick(PROPAGATION_MS);
   fleet.network.setDown(host, true);
   context.clock.tick(2_500);
-  assert.is(countTold(others, 59), 59);
+  assert.is(countReceived(others, 59), 59);
   fleet.network.setDown(host, false);
   for (let waited = 0; waited < 3_000; waited += 50) {
     context.clock.tick(50);
-    const knowing = countTold(others, 59);
-    assert.ok(knowing >= 50, `${knowing} of 59 know all after ${waited} ms`);
+    const informed = countReceived(others, 59);
+    assert.ok(informed >= 50, `${informed} of 59 know all loads after ${waited} ms`);
   }
 });
 
-test('a data centre that is cut off goes on by itself, and joins the others again', async (context) => {
+test('a disconnected data centre continues alone and rejoins the others', async (context) => {
   const fleet = await startFleet(context, { daemons: 60, dataCentres: 3, lossShare: 0.02 });
-  fleet.members.forEach((member) => put(member, 1));
+  fleet.members.forEach((member) => setOwnLoad(member, 1));
   fleet.network.setCut('dc-1', true);
   context.clock.tick(SETTLE_MS);
   const inside = fleet.members.filter(({ self }) => self.dataCentre === 'dc-1');
-  assert.is(countTold(inside, 20), 20);
+  assert.is(countReceived(inside, 20), 20);
   fleet.network.setCut('dc-1', false);
   context.clock.tick(SETTLE_MS);
-  assert.is(countTold(fleet.members, 60), 60);
+  assert.is(countReceived(fleet.members, 60), 60);
 });
 
-test('daemons get their turn to sum up one after another, and whoever is earlier goes on', () => {
+test('daemons become candidates for aggregator in order, and the earlier of two wins', () => {
   const vms = ['vm-1', 'vm-2', 'vm-3'];
   const [first = '', second = '', third = ''] = AGGREGATOR_ORDER.rank(vms);
   const election = new AggregatorElection(third, () => AGGREGATOR_ORDER.rank(vms), 0);
-  assert.is(election.find(AGGREGATOR_SILENCE_MS), undefined);
-  assert.is(election.find(AGGREGATOR_SILENCE_MS + 1), first);
-  assert.ok(election.noteSum({ vm: second, members: 2 }, 700));
-  assert.is(election.find(800), second);
-  assert.ok(election.noteSum({ vm: first, members: 2 }, 900));
-  assert.not(election.noteSum({ vm: second, members: 2 }, 950));
-  assert.is(election.find(1_500), first);
-  assert.is(election.find(1_501), second);
-  assert.is(election.find(1_801), third);
-  assert.is(election.find(9_000), third);
-  assert.ok(election.noteSum({ vm: first, members: 1 }, 9_001));
-  assert.is(election.find(9_002), first);
-  assert.not(election.noteSum({ vm: second, members: 0 }, 9_100));
-  assert.ok(election.noteSum({ vm: second, members: 2 }, 9_101));
+  assert.is(election.findAggregator(AGGREGATOR_TIMEOUT_MS), undefined);
+  assert.is(election.findAggregator(AGGREGATOR_TIMEOUT_MS + 1), first);
+  assert.ok(election.handleAggregate({ vm: second, members: 2 }, 700));
+  assert.is(election.findAggregator(800), second);
+  assert.ok(election.handleAggregate({ vm: first, members: 2 }, 900));
+  assert.not(election.handleAggregate({ vm: second, members: 2 }, 950));
+  assert.is(election.findAggregator(1_500), first);
+  assert.is(election.findAggregator(1_501), second);
+  assert.is(election.findAggregator(1_801), third);
+  assert.is(election.findAggregator(9_000), third);
+  assert.ok(election.handleAggregate({ vm: first, members: 1 }, 9_001));
+  assert.is(election.findAggregator(9_002), first);
+  assert.not(election.handleAggregate({ vm: second, members: 0 }, 9_100));
+  assert.ok(election.handleAggregate({ vm: second, members: 2 }, 9_101));
 });
 
 test.run();
--- a/packages/forwarding/src/peers/loadMessage.ts
+++ b/packages/forwarding/src/peers/loadMessage.ts
@@ -1,9 +1,15 @@
 /**
- * What a daemon tells the others: its work at the upstreams, and news of the store. A datagram of JSON.
+ * Load messages between daemons: the loads at the upstreams, reader reports and shared statistics.
+ * Encoded as JSON.
  */
 import type { VersionCounts } from '@snipehaven/policy';
-import { packDatagram } from './datagram.js';
-import type { Learned, ServiceModelWork, ServicePace, ServiceRolloutCounts } from './learned.js';
+import { compressDatagram } from './datagram.js';
+import type {
+  SharedStatistics,
+  ServiceModelWork,
+  ServicePace,
+  ServiceRolloutCounts,
+} from './sharedStatistics.js';
 
 /** Work and requests of one daemon at one upstream. */
 export interface UpstreamLoad {
@@ -11,49 +17,49 @@
   readonly requests: number;
 }
 
-/** What a reader of a table saw with its own eyes. */
-export interface TableNews {
+/** A reader's own observation of a table. */
+export interface TableReport {
   readonly table: string;
-  /** The store's version of the last change of the table. */
+  /** The store version of the last change of the table. */
   readonly lastChange: number;
-  /** The store's steady clock when it said so. */
+  /** The store's monotonic clock at its last answer. */
   readonly serverTimeMs: number;
 }
 
-/** A reader's news as an aggregator passes them on. */
-export interface ReaderNews extends TableNews {
+/** A reader's report as relayed by an aggregator. */
+export interface ReaderReport extends TableReport {
   readonly vm: string;
   readonly dataCentre: string;
 }
 
 /**
- * `own`: one daemon's. `dataCentre`: the sum over a data centre, told to others. `fleet`: the sum over
- * all, told within a data centre.
+ * `own`: loads of the sender only. `dataCentre`: the sum over a data centre, sent to other data
+ * centres. `fleet`: the sum over all daemons, sent within a data centre.
  */
 export type LoadScope = 'own' | 'dataCentre' | 'fleet';
 
 export interface LoadMessage {
   readonly vm: string;
   readonly dataCentre: string;
-  /** Rises with each message of one process; an older one that comes late is dropped. */
+  /** Increases with each message of one process; older messages that arrive late are dropped. */
   readonly sequence: number;
-  /** Tells a restarted process, which counts from the beginning again. */
+  /** Identifies the process: after a restart the sequence starts from the beginning. */
   readonly process: number;
   readonly loads: ReadonlyMap<string, UpstreamLoad>;
-  /** Of the tables that the sender reads; empty while it does not reach the store. */
-  readonly news: readonly TableNews[];
+  /** Reports for the tables that the sender reads; empty while it cannot reach the store. */
+  readonly news: readonly TableReport[];
   readonly scope: LoadScope;
-  /** Of sums: who reads the store's tables, as far as the sender knows. */
-  readonly readers: readonly ReaderNews[];
-  /** Of sums: the daemons of the sender's data centre that it counts, itself aside. */
+  /** Only in aggregates: the readers known to the sender. */
+  readonly readers: readonly ReaderReport[];
+  /** Only in aggregates: number of other daemons of the sender's data centre that are included. */
   readonly members: number;
-  /** What the sender, or all that its sum counts, learned of engines. */
-  readonly learned: Learned;
+  /** Statistics of the sender, or of all daemons that the aggregate includes. */
+  readonly learned: SharedStatistics;
 }
 
 type WireLoad = readonly [upstream: string, work: number, requests: number];
-type WireNews = readonly [table: string, lastChange: number, serverTimeMs: number];
-type WireReader = readonly [...WireNews, vm: string, dataCentre: string];
+type WireReport = readonly [table: string, lastChange: number, serverTimeMs: number];
+type WireReader = readonly [...WireReport, vm: string, dataCentre: string];
 type WirePace = readonly [
   service: string,
   work: number,
@@ -78,7 +84,7 @@
   process: number,
   sequence: number,
   loads: readonly WireLoad[],
-  news: readonly WireNews[],
+  news: readonly WireReport[],
   scope: number,
   readers: readonly WireReader[],
   members: number,
@@ -87,10 +93,10 @@
   rollouts: readonly WireRollout[],
 ];
 
-/** By their number on the wire. */
+/** The index of a scope is its number on the wire. */
 const SCOPES: readonly LoadScope[] = ['own', 'dataCentre', 'fleet'];
 
-const toWireNews = ({ table, lastChange, serverTimeMs }: TableNews): WireNews => [
+const toWireReport = ({ table, lastChange, serverTimeMs }: TableReport): WireReport => [
   table,
   lastChange,
   serverTimeMs,
@@ -105,7 +111,7 @@
   Math.round(sum.workTimes),
 ];
 
-/** Shaped as an entry of loads with a name more. */
+/** Begins like an entry of `loads`, followed by the model. */
 const toWireDemand = ({ service, model, work }: ServiceModelWork): WireDemand => [
   service,
   Math.round(work),
@@ -134,7 +140,7 @@
   ]);
   const { vm, dataCentre, process, sequence, scope } = message;
   const readers = message.readers.map((one): WireReader => [
-    ...toWireNews(one),
+    ...toWireReport(one),
     one.vm,
     one.dataCentre,
   ]);
@@ -144,7 +150,7 @@
     process,
     sequence,
     loads,
-    message.news.map(toWireNews),
+    message.news.map(toWireReport),
     SCOPES.indexOf(scope),
     readers,
     message.members,
@@ -153,33 +159,37 @@
     message.learned.rollouts.map(toWireRollout),
   ];
   const json = JSON.stringify(wire);
-  // Sums are long, and some cross data centres, where bytes are dear.
-  return scope === 'own' ? Buffer.from(json) : packDatagram(json);
+  // Aggregates are long, and some of them cross data centres, where traffic is expensive.
+  return scope === 'own' ? Buffer.from(json) : compressDatagram(json);
 };
 
-const isAmount = (value: unknown): boolean => Number.isFinite(value) && (value as number) >= 0;
+const isNonNegative = (value: unknown): boolean => Number.isFinite(value) && (value as number) >= 0;
 
-/** A name and two amounts, as loads and news are. */
-const isWireEntry = (value: unknown): value is WireLoad & WireNews =>
-  Array.isArray(value) && typeof value[0] === 'string' && isAmount(value[1]) && isAmount(value[2]);
+/** A name followed by two non-negative numbers, as in loads and reports. */
+const isWireEntry = (value: unknown): value is WireLoad & WireReport =>
+  Array.isArray(value) &&
+  typeof value[0] === 'string' &&
+  isNonNegative(value[1]) &&
+  isNonNegative(value[2]);
 
 const isWireReader = (value: unknown): value is WireReader =>
   isWireEntry(value) && typeof value[3] === 'string' && typeof value[4] === 'string';
 
-/** As this version tells them; an older one tells less, and is not learned from. */
+/** Requires all fields; shorter entries of an older version are ignored. */
 const isWirePace = (value: unknown): value is WirePace =>
-  isWireEntry(value) && (value as readonly unknown[]).slice(3, 6).filter(isAmount).length === 3;
+  isWireEntry(value) &&
+  (value as readonly unknown[]).slice(3, 6).filter(isNonNegative).length === 3;
 
 const isWireDemand = (value: unknown): value is WireDemand =>
   isWireEntry(value) && typeof value[3] === 'string';
 
 const isWireCounts = (value: unknown): value is WireCounts =>
-  Array.isArray(value) && value.length === 2 && value.every(isAmount);
+  Array.isArray(value) && value.length === 2 && value.every(isNonNegative);
 
 const isWireRollout = (value: unknown): value is WireRollout =>
   Array.isArray(value) &&
   typeof value[0] === 'string' &&
-  isAmount(value[1]) &&
+  isNonNegative(value[1]) &&
   isWireCounts(value[2]) &&
   isWireCounts(value[3]) &&
   Array.isArray(value[4]) &&
@@ -225,20 +235,26 @@
   work,
 });
 
-const toNews = ([table, lastChange, serverTimeMs]: WireNews): TableNews => ({
+const toReport = ([table, lastChange, serverTimeMs]: WireReport): TableReport => ({
   table,
   lastChange,
   serverTimeMs,
 });
 
-const toReader = ([table, lastChange, serverTimeMs, vm, dataCentre]: WireReader): ReaderNews => ({
-  ...toNews([table, lastChange, serverTimeMs]),
+const toReaderReport = ([
+  table,
+  lastChange,
+  serverTimeMs,
+  vm,
+  dataCentre,
+]: WireReader): ReaderReport => ({
+  ...toReport([table, lastChange, serverTimeMs]),
   vm,
   dataCentre,
 });
 
-/** Undefined when the decoded datagram is no load message. */
-export const restoreLoadMessage = (value: unknown): LoadMessage | undefined => {
+/** Undefined if the decoded datagram is not a valid load message. */
+export const decodeLoadMessage = (value: unknown): LoadMessage | undefined => {
   if (!Array.isArray(value)) {
     return undefined;
   }
@@ -257,7 +273,7 @@
     rollouts = [],
   ] = value as unknown[];
   const scope = SCOPES[Number(scopeNumber)];
-  const isOurs =
+  const isValid =
     typeof vm === 'string' &&
     typeof dataCentre === 'string' &&
     typeof process === 'number' &&
@@ -275,7 +291,7 @@
     Array.isArray(demands) &&
     demands.every(isWireDemand) &&
     Array.isArray(rollouts);
-  if (!isOurs) {
+  if (!isValid) {
     return undefined;
   }
   const entries = loads.map(
@@ -287,9 +303,9 @@
     process,
     sequence,
     loads: new Map(entries),
-    news: news.map(toNews),
+    news: news.map(toReport),
     scope,
-    readers: readers.map(toReader),
+    readers: readers.map(toReaderReport),
     members,
     learned: {
       paces: (paces as unknown[]).filter(isWirePace).map(toPace),
--- a/packages/forwarding/src/peers/peerDirectory.ts
+++ b/packages/forwarding/src/peers/peerDirectory.ts
@@ -1,9 +1,9 @@
 /**
- * The other daemons, by data centre. Lists and orders are kept and made anew only when a daemon comes
- * or goes: they are asked for at each datagram.
+ * The known other daemons, grouped by data centre. Lists and orders are needed for each datagram,
+ * so they are cached until a daemon is added or removed.
  */
 import { forgetOldest, pickRandom, type Random } from '@snipehaven/common';
-import { countBefore, type PeerOrder } from './peerOrder.js';
+import { countBefore, type RendezvousOrder } from './rendezvousOrder.js';
 
 export interface Peer {
   readonly vm: string;
@@ -12,13 +12,16 @@
   readonly port: number;
 }
 
-/** Keys whose orders are remembered; more than the upstreams that are cold at a time. */
-const MAX_REMEMBERED_KEYS = 1_024;
+/**
+ * Limits the cached counts of `countBefore`; more than the number of upstreams that are cold at a
+ * time.
+ */
+const MAX_CACHED_KEYS = 1_024;
 
 interface Lists {
   readonly all: readonly Peer[];
   readonly local: readonly Peer[];
-  readonly far: ReadonlyMap<string, readonly Peer[]>;
+  readonly remote: ReadonlyMap<string, readonly Peer[]>;
 }
 
 interface Ranks {
@@ -37,7 +40,7 @@
 
   #lists: Lists | undefined;
 
-  readonly #ranks = new Map<PeerOrder, Ranks>();
+  readonly #ranks = new Map<RendezvousOrder, Ranks>();
 
   readonly #countsBefore = new Map<string, number>();
 
@@ -46,8 +49,8 @@
     this.#random = random;
   }
 
-  /** Daemons known, this one among them. */
-  get daemons(): number {
+  /** Number of known daemons, including this one. */
+  get daemonCount(): number {
     return this.#peers.size + 1;
   }
 
@@ -55,22 +58,22 @@
     return this.#getLists().all;
   }
 
-  /** Those of this daemon's data centre. */
+  /** Other daemons of this data centre. */
   get local(): readonly Peer[] {
     return this.#getLists().local;
   }
 
-  /** All daemons in the order, this one among them. */
-  rank(order: PeerOrder): readonly string[] {
+  /** All daemons in the given order, including this one. */
+  rank(order: RendezvousOrder): readonly string[] {
     return this.#getRanks(order).all;
   }
 
-  /** The daemons of this data centre in the order, this one among them. */
-  rankLocal(order: PeerOrder): readonly string[] {
+  /** The daemons of this data centre in the given order, including this one. */
+  rankLocal(order: RendezvousOrder): readonly string[] {
     return this.#getRanks(order).local;
   }
 
-  /** How many daemons come before this one in the order of the key. */
+  /** Number of daemons that precede this one in the rendezvous order of the key. */
   countBefore(key: string): number {
     const known = this.#countsBefore.get(key);
     if (known !== undefined) {
@@ -78,7 +81,7 @@
     }
     const count = countBefore(key, this.self.vm, [...this.#peers.keys()]);
     this.#countsBefore.set(key, count);
-    forgetOldest(this.#countsBefore, MAX_REMEMBERED_KEYS);
+    forgetOldest(this.#countsBefore, MAX_CACHED_KEYS);
     return count;
   }
 
@@ -86,7 +89,7 @@
     return this.#peers.get(vm);
   }
 
-  /** False when it was known so before. */
+  /** Returns false if nothing changed. */
   put(peer: Peer): boolean {
     const known = this.#peers.get(peer.vm);
     const isSame =
@@ -97,29 +100,32 @@
     this.#forgetHost(known);
     this.#peers.set(peer.vm, peer);
     this.#byHost.set(peer.host, peer);
-    this.#dropLists();
+    this.#invalidateLists();
     return true;
   }
 
   remove(vm: string): void {
     this.#forgetHost(this.#peers.get(vm));
     this.#peers.delete(vm);
-    this.#dropLists();
+    this.#invalidateLists();
   }
 
   /** Whether the sender is a daemon of another data centre. */
-  isFar(host: string): boolean {
+  isRemote(host: string): boolean {
     const sender = this.#byHost.get(host);
     return sender !== undefined && sender.dataCentre !== this.self.dataCentre;
   }
 
-  /** One of each other data centre, drawn anew each time: whoever is drawn may be cut off. */
-  pickFar(): readonly Peer[] {
-    const groups = [...this.#getLists().far.values()];
+  /**
+   * One random daemon of each other data centre, picked anew each time because any of them may be
+   * disconnected.
+   */
+  pickRemotePeers(): readonly Peer[] {
+    const groups = [...this.#getLists().remote.values()];
     return groups.flatMap((group) => pickRandom(group, this.#random) ?? []);
   }
 
-  /** Any other daemon. */
+  /** Any other daemon, picked at random. */
   pickAny(): Peer | undefined {
     return pickRandom(this.all, this.#random);
   }
@@ -130,13 +136,13 @@
     }
   }
 
-  #dropLists(): void {
+  #invalidateLists(): void {
     this.#lists = undefined;
     this.#ranks.clear();
     this.#countsBefore.clear();
   }
 
-  #getRanks(order: PeerOrder): Ranks {
+  #getRanks(order: RendezvousOrder): Ranks {
     const known = this.#ranks.get(order);
     if (known !== undefined) {
       return known;
@@ -163,6 +169,6 @@
         far.set(peer.dataCentre, group);
       }
     }
-    return { all, local, far };
+    return { all, local, remote: far };
   }
 }
--- a/packages/forwarding/src/peers/peerExchange.ts
+++ b/packages/forwarding/src/peers/peerExchange.ts
@@ -1,161 +1,166 @@
-/** All that a daemon tells the others and hears of them, by datagrams. */
+/** Communication of a daemon with the other daemons, over datagrams. */
 import type { Logger, Random } from '@snipehaven/common';
 import type { StoreClock } from '../configuration/storeClock.js';
 import type { SnapshotSource, TableSnapshot } from '../store/types.js';
 import type { SocketAddress } from '../types.js';
-import { encodeCrashNews, type CrashNews } from './crashMessage.js';
+import { encodeCrashReport, type CrashReport } from './crashMessage.js';
 import { ChangesRelay } from './changesRelay.js';
 import { parseDatagram } from './datagram.js';
-import { createTakers, takeDatagram, type DatagramTaker } from './datagramTakers.js';
+import {
+  createDatagramHandlers,
+  dispatchDatagram,
+  type DatagramHandler,
+} from './datagramDispatch.js';
 import type { DatagramPort } from './datagramPort.js';
 import { encodeJoinMessage, type JoinMessage } from './joinMessages.js';
-import { Joining } from './joining.js';
-import type { Learned } from './learned.js';
+import { JoinProtocol } from './joinProtocol.js';
+import type { SharedStatistics } from './sharedStatistics.js';
 import type { UpstreamLoad } from './loadMessage.js';
-import { MeshScheme } from './meshScheme.js';
-import { SMALL_FLEET, type NewsBoard } from './newsBoard.js';
+import { MeshStrategy } from './meshStrategy.js';
+import { MAX_MESH_DAEMONS, type ReaderRegistry } from './readerRegistry.js';
 import type { Peer, PeerDirectory } from './peerDirectory.js';
 import type { PeerLoads } from './peerLoads.js';
 import { PeerMessenger, type DatagramMeter } from './peerMessenger.js';
-import { READER_ORDER, WRITER_ORDER } from './peerOrder.js';
+import { READER_ORDER, WRITER_ORDER } from './rendezvousOrder.js';
 import { Roster } from './roster.js';
-import { SumScheme } from './sumScheme.js';
-import { TICK_MS, type LoadDatagram, type TellingScheme } from './tellingScheme.js';
-import { encodeBadVersion, type BadVersionNews } from './verdictMessage.js';
+import { AggregationStrategy } from './aggregationStrategy.js';
+import { TICK_MS, type LoadDatagram, type LoadSharingStrategy } from './loadSharingStrategy.js';
+import { encodeBadVersion, type BadVersionNews } from './badVersionMessage.js';
 
 export interface PeerExchangeOptions {
   readonly directory: PeerDirectory;
   readonly loads: PeerLoads;
-  readonly board: NewsBoard;
+  readonly readerRegistry: ReaderRegistry;
   readonly port: DatagramPort;
   readonly clock: StoreClock;
   readonly logger: Logger;
   readonly random: Random;
   readonly meter: DatagramMeter;
-  /** Tells this process from an earlier one of the same VM. */
+  /** Distinguishes this process from earlier ones of the same VM. */
   readonly processId: number;
-  /** Daemons that the settings name; they may be gone. */
+  /** Addresses of daemons from the settings; these daemons may no longer exist. */
   readonly seeds: readonly SocketAddress[];
   readOwnLoads(): ReadonlyMap<string, UpstreamLoad>;
-  readOwnLearned(): Learned;
-  /** What this daemon knows of the store's tables. */
+  readOwnStatistics(): SharedStatistics;
+  /** The store's tables as currently known by this daemon. */
   listSnapshots(): readonly TableSnapshot[];
-  /** Another daemon told of upstreams that ended. */
-  takeCrashNews(news: CrashNews): void;
-  /** Another daemon judged a version bad. */
-  takeBadVersion(news: BadVersionNews): void;
+  /** Called when another daemon reports upstreams that ended. */
+  onCrashReport(report: CrashReport): void;
+  /** Called when another daemon has judged a version bad. */
+  onBadVersion(report: BadVersionNews): void;
 }
 
 /**
- * Work that is told at once instead of at the next tick: a tenth of a second of an engine. Until it is
- * known, other daemons see an idle engine and send their long prompts there too.
+ * Work of this size is reported at once instead of at the next tick; it takes an engine a tenth of
+ * a second. Until it is reported, other daemons see an idle engine and send it their long prompts
+ * too.
  */
 const LARGE_WORK = 4_000;
 
-/** A tick that comes later than this after it was due: the VM stood still. */
-const PAUSE_MS = 3 * TICK_MS;
+/** A tick that is overdue by more than this means that the VM was suspended. */
+const PAUSE_THRESHOLD_MS = 3 * TICK_MS;
 
 /**
- * News of upstreams that ended are told twice: nobody asks for one that was lost. The second comes when a
- * squeezed link has had time to empty.
+ * Crash reports are sent twice, because a lost one is never requested again. The delay gives a
+ * congested link time to drain.
  */
-const TELL_AGAIN_MS = 200;
+const REPEAT_DELAY_MS = 200;
 
-/** Between lists of daemons; one of 400 packs to some 5 KB. */
-const ROSTER_MS = 3_000;
+/** Between rosters sent to a random daemon; a roster of 400 daemons takes about 5 KB compressed. */
+const ROSTER_INTERVAL_MS = 3_000;
 
-type SchemeName = 'mesh' | 'sums';
+type StrategyName = 'mesh' | 'sums';
 
 export class PeerExchange implements SnapshotSource {
   readonly #options: PeerExchangeOptions;
 
   readonly #messenger: PeerMessenger;
 
-  readonly #schemes: Readonly<Record<SchemeName, TellingScheme>>;
+  readonly #strategies: Readonly<Record<StrategyName, LoadSharingStrategy>>;
 
   readonly #roster: Roster;
 
-  readonly #joining: Joining;
+  readonly #joinProtocol: JoinProtocol;
 
   readonly #relay: ChangesRelay;
 
-  readonly #takers: readonly DatagramTaker[] = createTakers({
-    loads: (datagram) => this.#takeLoad(datagram),
-    changes: (changes, { bytes, host }) => this.#relay.take(changes, bytes, host),
-    joining: (message) => this.#joining.take(message, performance.now()),
-    crashes: (news) => this.#options.takeCrashNews(news),
-    badVersion: (news) => this.#options.takeBadVersion(news),
+  readonly #handlers: readonly DatagramHandler[] = createDatagramHandlers({
+    loads: (datagram) => this.#receiveLoads(datagram),
+    changes: (changes, { bytes, host }) => this.#relay.receive(changes, bytes, host),
+    join: (message) => this.#joinProtocol.receive(message, performance.now()),
+    crashes: (report) => this.#options.onCrashReport(report),
+    badVersion: (report) => this.#options.onBadVersion(report),
   });
 
   #timer: NodeJS.Timeout | undefined;
 
-  /** Steps of `TICK_MS` since the start. */
+  /** Multiples of `TICK_MS` since the start. */
   #ticks = 0;
 
   #dueAtMs = 0;
 
-  #toldRosterAtMs = 0;
+  #rosterSentAtMs = 0;
 
-  /** Requests that still run may tell of their upstreams after the port is closed. */
+  /** Requests that are still running may cause messages after the port is closed. */
   #isStopped = false;
 
   constructor(options: PeerExchangeOptions) {
     this.#options = options;
-    const { directory, processId, port, board } = options;
+    const { directory, processId, port, readerRegistry } = options;
     const messenger = new PeerMessenger(directory.self, processId, port, options.meter);
     this.#messenger = messenger;
     this.#roster = new Roster(directory);
-    this.#joining = new Joining({ ...options, messenger, roster: this.#roster });
-    this.#relay = new ChangesRelay(directory, board, messenger);
+    this.#joinProtocol = new JoinProtocol({ ...options, messenger, roster: this.#roster });
+    this.#relay = new ChangesRelay(directory, readerRegistry, messenger);
     const context = { ...options, messenger };
-    this.#schemes = {
-      mesh: new MeshScheme(context),
-      sums: new SumScheme(context, performance.now()),
+    this.#strategies = {
+      mesh: new MeshStrategy(context),
+      sums: new AggregationStrategy(context, performance.now()),
     };
   }
 
   async start(): Promise<void> {
-    const { port, board } = this.#options;
-    await port.open((bytes, host) => this.#take(bytes, host));
-    board.onOwnChanges((changes) => {
-      this.#relay.passOn(changes);
-      this.#scheme.tellNews(performance.now());
+    const { port, readerRegistry } = this.#options;
+    await port.open((bytes, host) => this.#receive(bytes, host));
+    readerRegistry.onOwnChanges((changes) => {
+      this.#relay.broadcast(changes);
+      this.#strategy.sendReports(performance.now());
     });
     const nowMs = performance.now();
-    this.#toldRosterAtMs = nowMs;
+    this.#rosterSentAtMs = nowMs;
     this.#scheduleTick(nowMs);
-    this.#joining.start();
+    this.#joinProtocol.start();
   }
 
   stop(): void {
     this.#isStopped = true;
     clearTimeout(this.#timer);
-    this.#joining.stop();
+    this.#joinProtocol.stop();
     this.#options.port.close();
   }
 
-  /** Daemons known, this one among them. */
+  /** Number of known daemons, including this one. */
   get daemons(): number {
-    return this.#options.directory.daemons;
+    return this.#options.directory.daemonCount;
   }
 
   get isAcquainted(): boolean {
-    return this.#joining.isAcquainted(performance.now());
+    return this.#joinProtocol.hasDiscoveredPeers(performance.now());
   }
 
-  /** How many daemons come before this one in the order of the key. */
+  /** Number of daemons that precede this one in the rendezvous order of the key. */
   countBefore(key: string): number {
     return this.#options.directory.countBefore(key);
   }
 
   /**
-   * How many daemons come before this one to read the store: in the region, or twice as many as in its
-   * data centre, so that one that is cut off has its own first ones. Of a small fleet all read at once.
-   * Undefined while the daemon settles and leaves the reading to others. Lost readers are skipped,
-   * so that no daemon waits for their turn.
+   * Number of daemons that precede this one as reader of the store: the lower of its rank in the
+   * region and twice its rank in its data centre, so that a disconnected data centre has first
+   * readers of its own. In a small fleet all read at once. Undefined while the daemon settles and
+   * leaves reading to others. Lost readers are skipped, so that no daemon waits for their turn.
    */
   getReaderRank(lostReaders: ReadonlySet<string> = new Set()): number | undefined {
-    if (this.#joining.isSettling(performance.now())) {
+    if (this.#joinProtocol.isSettling(performance.now())) {
       return undefined;
     }
     const { directory } = this.#options;
@@ -166,13 +171,16 @@
     return this.#isSmallFleet ? 0 : Math.min(rank, 2 * localRank);
   }
 
-  /** Whether this daemon is the one that counts what must be counted once. */
+  /** Whether this daemon counts events that must be counted only once in the fleet. */
   get isFirstWriter(): boolean {
     const { directory } = this.#options;
     return directory.rank(WRITER_ORDER)[0] === directory.self.vm;
   }
 
-  /** How many daemons come before this one to write of roll-outs; undefined in a small fleet. */
+  /**
+   * Number of daemons that precede this one as writer of roll-out status; undefined in a small
+   * fleet.
+   */
   get writerRank(): number | undefined {
     const { directory } = this.#options;
     const rank = directory.rank(WRITER_ORDER).indexOf(directory.self.vm);
@@ -180,73 +188,77 @@
   }
 
   waitForSnapshot(table: string): Promise<TableSnapshot | undefined> {
-    return this.#joining.waitForSnapshot(table);
+    return this.#joinProtocol.waitForSnapshot(table);
   }
 
   /**
-   * Told to all daemons, however many: it is rare, and any of them may meet the request next. What comes by
-   * way of others would be lost with them.
+   * Sent directly to all daemons, even in a large fleet. Crash reports are rare, any daemon may
+   * receive the suspect request next, and a relayed report would be lost together with the relaying
+   * daemon.
    */
-  tellCrashes(news: CrashNews): void {
-    const bytes = encodeCrashNews(news);
-    const tell = (): void => {
+  broadcastCrashReport(report: CrashReport): void {
+    const bytes = encodeCrashReport(report);
+    const send = (): void => {
       if (!this.#isStopped) {
         this.#messenger.sendTo(this.#options.directory.all, bytes);
       }
     };
-    tell();
-    setTimeout(tell, TELL_AGAIN_MS).unref();
+    send();
+    setTimeout(send, REPEAT_DELAY_MS).unref();
   }
 
-  /** Told to one daemon, drawn anew each time; who is told tells on, so that all know within seconds. */
-  tellBadVersion(news: BadVersionNews): void {
+  /**
+   * Sent to one random daemon at a time. Each receiver sends it on, so all daemons know it within
+   * seconds.
+   */
+  sendBadVersion(report: BadVersionNews): void {
     const peer = this.#options.directory.pickAny();
     if (peer !== undefined && !this.#isStopped) {
-      this.#messenger.sendTo([peer], encodeBadVersion(news));
+      this.#messenger.sendTo([peer], encodeBadVersion(report));
     }
   }
 
-  /** This daemon has placed work. */
-  noteWork(work: number): void {
+  /** Reports newly placed work to the other daemons at once if it is large. */
+  notePlacedWork(work: number): void {
     if (work >= LARGE_WORK) {
-      this.#scheme.tellWork(performance.now());
+      this.#strategy.sendLoads(performance.now());
     }
   }
 
-  /** A daemon that the store names. */
-  putPeer(peer: Peer): void {
-    this.#roster.note(peer, performance.now());
+  /** Adds a daemon whose address was found in the store. */
+  addPeer(peer: Peer): void {
+    this.#roster.record(peer, performance.now());
   }
 
   get #isSmallFleet(): boolean {
-    return this.daemons <= SMALL_FLEET;
+    return this.daemons <= MAX_MESH_DAEMONS;
   }
 
-  get #scheme(): TellingScheme {
-    return this.#schemes[this.#isSmallFleet ? 'mesh' : 'sums'];
+  get #strategy(): LoadSharingStrategy {
+    return this.#strategies[this.#isSmallFleet ? 'mesh' : 'sums'];
   }
 
-  #take(bytes: Buffer, host: string): void {
-    const kind = takeDatagram(this.#takers, { value: parseDatagram(bytes), bytes, host });
+  #receive(bytes: Buffer, host: string): void {
+    const kind = dispatchDatagram(this.#handlers, { value: parseDatagram(bytes), bytes, host });
     this.#options.meter.countDatagram(kind, 'received');
   }
 
-  #takeLoad(datagram: LoadDatagram): void {
+  #receiveLoads(datagram: LoadDatagram): void {
     const { message, host } = datagram;
     const { self } = this.#options.directory;
     if (message.vm !== self.vm) {
       const { vm, dataCentre } = message;
       const nowMs = performance.now();
-      // Handed on, it comes from another host than its sender's.
+      // A forwarded datagram does not come from the address of its original sender.
       if (this.#options.directory.find(vm) === undefined && message.scope !== 'dataCentre') {
-        this.#roster.note({ vm, dataCentre, host, port: self.port }, nowMs);
+        this.#roster.record({ vm, dataCentre, host, port: self.port }, nowMs);
       }
-      this.#scheme.take(datagram, nowMs);
+      this.#strategy.receive(datagram, nowMs);
     }
   }
 
   #scheduleTick(nowMs: number): void {
-    const { tickMs } = this.#scheme;
+    const { tickMs } = this.#strategy;
     this.#ticks += tickMs / TICK_MS;
     this.#dueAtMs = nowMs + tickMs;
     this.#timer = setTimeout(() => this.#tick(), tickMs);
@@ -254,22 +266,22 @@
 
   #tick(): void {
     const nowMs = performance.now();
-    if (nowMs - this.#dueAtMs > PAUSE_MS) {
-      this.#schemes.sums.notePause(nowMs);
+    if (nowMs - this.#dueAtMs > PAUSE_THRESHOLD_MS) {
+      this.#strategies.sums.handlePause(nowMs);
     }
-    this.#options.loads.dropSilent(nowMs);
-    this.#scheme.tick(this.#ticks, nowMs);
-    if (nowMs - this.#toldRosterAtMs >= ROSTER_MS) {
-      this.#toldRosterAtMs = nowMs;
-      this.#tellRoster(nowMs);
+    this.#options.loads.evictSilent(nowMs);
+    this.#strategy.tick(this.#ticks, nowMs);
+    if (nowMs - this.#rosterSentAtMs >= ROSTER_INTERVAL_MS) {
+      this.#rosterSentAtMs = nowMs;
+      this.#sendRoster(nowMs);
     }
     this.#scheduleTick(nowMs);
   }
 
-  #tellRoster(nowMs: number): void {
-    this.#roster.forgetGone(nowMs);
+  #sendRoster(nowMs: number): void {
+    this.#roster.removeExpired(nowMs);
     const peer = this.#options.directory.pickAny();
     const message: JoinMessage = { kind: 'roster', roster: this.#roster.list(nowMs) };
-    this.#messenger.sendPacked(peer === undefined ? [] : [peer], encodeJoinMessage(message));
+    this.#messenger.sendIfEncoded(peer === undefined ? [] : [peer], encodeJoinMessage(message));
   }
 }
--- a/packages/forwarding/src/peers/peerLoads.ts
+++ b/packages/forwarding/src/peers/peerLoads.ts
@@ -1,17 +1,21 @@
 /**
- * What the other daemons have at the upstreams. Without it each daemon sees its own requests only, a
+ * Loads of the other daemons at the upstreams. Without them a daemon sees only its own requests, a
  * ninth of an upstream's queue or less, and long prompts of several daemons meet at one engine.
  */
 import type { ModelWork, PaceSum } from '@snipehaven/policy';
-import { sumLearned, type Learned, type ServiceRolloutCounts } from './learned.js';
+import {
+  sumStatistics,
+  type SharedStatistics,
+  type ServiceRolloutCounts,
+} from './sharedStatistics.js';
 import type { LoadMessage, LoadScope, UpstreamLoad } from './loadMessage.js';
 
-interface PeerState {
+interface LoadEntry {
   readonly message: LoadMessage;
   readonly heardAtMs: number;
 }
 
-/** A peer that was not heard for this long is gone, or its work is no longer what it said. */
+/** A peer that has been silent for this long is gone, or its last loads are outdated. */
 const MAX_AGE_MS = 2_000;
 
 const NO_LOAD: UpstreamLoad = { work: 0, requests: 0 };
@@ -20,7 +24,7 @@
 
 type LoadSums = Map<string, UpstreamLoad>;
 
-/** Adds a message's loads to the sums, or takes them off; upstreams without requests are left out. */
+/** Adds a message's loads to the sums or subtracts them; upstreams without requests are removed. */
 const addLoads = (sums: LoadSums, { loads }: Pick<LoadMessage, 'loads'>, sign: 1 | -1): void => {
   for (const [upstream, load] of loads) {
     const sum = sums.get(upstream) ?? NO_LOAD;
@@ -33,7 +37,7 @@
   }
 };
 
-/** By whom the loads are: of two messages with the same key the newer one counts. */
+/** Identifies what the loads cover; of two messages with the same key only the newer one counts. */
 const getKey: Readonly<Record<LoadScope, (message: LoadMessage) => string>> = {
   own: ({ vm }) => `vm/${vm}`,
   dataCentre: ({ dataCentre }) => `dataCentre/${dataCentre}`,
@@ -41,8 +45,8 @@
 };
 
 /**
- * What others have of a sum of which this daemon told a part. The sum may hold an earlier part than the
- * one given, for as long as a datagram takes: never less than nothing.
+ * The loads of others in a sum that includes a part sent by this daemon. The sum may include an
+ * earlier version of that part for as long as a datagram takes, so the result is clamped at zero.
  */
 export const subtractLoads = (
   sum: ReadonlyMap<string, UpstreamLoad>,
@@ -60,40 +64,40 @@
 };
 
 export class PeerLoads {
-  readonly #peers = new Map<string, PeerState>();
+  readonly #entries = new Map<string, LoadEntry>();
 
   readonly #sums: LoadSums = new Map();
 
-  /** Of all messages; undefined when one came or went since. */
-  #learned: Learned | undefined;
+  /** Cached sum over all messages; undefined after any of them was added or removed. */
+  #statistics: SharedStatistics | undefined;
 
-  /** Takes a message unless a newer one of the same process came before. */
+  /** Ignores the message if a newer one of the same process was received before. */
   take(message: LoadMessage, nowMs: number): void {
     const key = getKey[message.scope](message);
-    const known = this.#peers.get(key)?.message;
+    const known = this.#entries.get(key)?.message;
     if (known?.process === message.process && known.sequence >= message.sequence) {
       return;
     }
     this.#dropOverlap(key);
     this.#drop(key);
-    this.#peers.set(key, { message, heardAtMs: nowMs });
-    this.#learned = undefined;
+    this.#entries.set(key, { message, heardAtMs: nowMs });
+    this.#statistics = undefined;
     addLoads(this.#sums, message, 1);
   }
 
-  /** Forgets peers that fell silent. */
-  dropSilent(nowMs: number): void {
-    for (const [key, { heardAtMs }] of this.#peers) {
+  /** Removes the loads of peers that have not been heard for `MAX_AGE_MS`. */
+  evictSilent(nowMs: number): void {
+    for (const [key, { heardAtMs }] of this.#entries) {
       if (nowMs - heardAtMs > MAX_AGE_MS) {
         this.#drop(key);
       }
     }
   }
 
-  /** What the daemons of a data centre have, this one's own loads among them. */
-  sumUp(dataCentre: string, own: ReadonlyMap<string, UpstreamLoad>): LoadSums {
+  /** Loads of all daemons of a data centre, including this one's. */
+  sumDataCentre(dataCentre: string, own: ReadonlyMap<string, UpstreamLoad>): LoadSums {
     const sums: LoadSums = new Map(own);
-    for (const { message } of this.#peers.values()) {
+    for (const { message } of this.#entries.values()) {
       if (message.dataCentre === dataCentre && message.scope === 'own') {
         addLoads(sums, message, 1);
       }
@@ -101,44 +105,44 @@
     return sums;
   }
 
-  /** What all daemons have, this one's own loads among them. */
-  sumUpFleet(own: ReadonlyMap<string, UpstreamLoad>): LoadSums {
+  /** Loads of all daemons, including this one's. */
+  sumFleet(own: ReadonlyMap<string, UpstreamLoad>): LoadSums {
     const sums: LoadSums = new Map(own);
     addLoads(sums, { loads: this.#sums }, 1);
     return sums;
   }
 
-  /** What others learned of engines. */
-  get learned(): Learned {
-    this.#learned ??= sumLearned(this.#listMessages().map(({ learned }) => learned));
-    return this.#learned;
+  /** Combined statistics of the other daemons. */
+  get statistics(): SharedStatistics {
+    this.#statistics ??= sumStatistics(this.#listMessages().map(({ learned }) => learned));
+    return this.#statistics;
   }
 
-  /** What the other daemons of a data centre learned. */
-  findLearnedIn(dataCentre: string): Learned {
+  /** Combined statistics of the other daemons of a data centre. */
+  getDataCentreStatistics(dataCentre: string): SharedStatistics {
     const local = this.#listMessages().filter(
       (message) => message.dataCentre === dataCentre && message.scope === 'own',
     );
-    return sumLearned(local.map(({ learned }) => learned));
+    return sumStatistics(local.map(({ learned }) => learned));
   }
 
   findPace(service: string): PaceSum | undefined {
-    return this.learned.paces.find((pace) => pace.service === service);
+    return this.statistics.paces.find((pace) => pace.service === service);
   }
 
   listDemands(service: string): readonly ModelWork[] {
-    return this.learned.demands.filter((demand) => demand.service === service);
+    return this.statistics.demands.filter((demand) => demand.service === service);
   }
 
   /** The roll-out's answer counts, summed over the reachable peers. */
   findRolloutCounts(service: string, orderVersion: number): ServiceRolloutCounts | undefined {
-    return this.learned.rollouts.find(
+    return this.statistics.rollouts.find(
       (one) => one.service === service && one.orderVersion === orderVersion,
     );
   }
 
-  /** Daemons that told their own work. */
-  get daemons(): number {
+  /** Number of daemons whose own loads were received directly. */
+  get reportingDaemonCount(): number {
     return this.#listMessages().filter(({ scope }) => scope === 'own').length;
   }
 
@@ -147,24 +151,26 @@
   }
 
   #listMessages(): readonly LoadMessage[] {
-    return [...this.#peers.values()].map(({ message }) => message);
+    return [...this.#entries.values()].map(({ message }) => message);
   }
 
-  /** The sum over the fleet holds what the other messages hold: only one of both counts. */
+  /** The fleet-wide sum includes the other messages, so only one of both may count. */
   #dropOverlap(key: string): void {
     if (key !== FLEET_KEY) {
       this.#drop(FLEET_KEY);
       return;
     }
-    [...this.#peers.keys()].filter((other) => other !== key).forEach((other) => this.#drop(other));
+    [...this.#entries.keys()]
+      .filter((other) => other !== key)
+      .forEach((other) => this.#drop(other));
   }
 
   #drop(key: string): void {
-    const known = this.#peers.get(key);
+    const known = this.#entries.get(key);
     if (known !== undefined) {
       addLoads(this.#sums, known.message, -1);
-      this.#peers.delete(key);
-      this.#learned = undefined;
+      this.#entries.delete(key);
+      this.#statistics = undefined;
     }
   }
 }
--- a/packages/forwarding/src/peers/peerMessenger.ts
+++ b/packages/forwarding/src/peers/peerMessenger.ts
@@ -1,4 +1,4 @@
-/** Sends this daemon's messages to others, each with its origin and number. */
+/** Sends messages to other daemons and adds origin and sequence number to load messages. */
 import { encodeLoadMessage, type LoadMessage } from './loadMessage.js';
 import type { DatagramPort } from './datagramPort.js';
 import type { SocketAddress } from '../types.js';
@@ -6,7 +6,10 @@
 
 export type MessageContent = Omit<LoadMessage, 'vm' | 'dataCentre' | 'process' | 'sequence'>;
 
-/** Counts datagrams: sent ones together, received ones by the scope of loads, or as what they are. */
+/**
+ * Counts datagrams: sent ones under one kind, received ones by the scope of their loads or by
+ * message type.
+ */
 export interface DatagramMeter {
   countDatagram(kind: string, direction: 'sent' | 'received'): void;
 }
@@ -22,7 +25,7 @@
 
   #sequence = 0;
 
-  /** `processId`: tells this process from an earlier one of the same VM. */
+  /** `processId` distinguishes this process from earlier ones of the same VM. */
   constructor(self: Peer, processId: number, port: DatagramPort, meter: DatagramMeter) {
     this.#self = self;
     this.#processId = processId;
@@ -30,7 +33,7 @@
     this.#meter = meter;
   }
 
-  tell(peers: readonly Peer[], content: MessageContent): void {
+  sendLoadMessage(peers: readonly Peer[], content: MessageContent): void {
     this.#sequence += 1;
     const { vm, dataCentre } = this.#self;
     const origin = { vm, dataCentre, process: this.#processId, sequence: this.#sequence };
@@ -44,8 +47,8 @@
     });
   }
 
-  /** Undefined bytes: the message was too large, nothing is sent. */
-  sendPacked(addresses: readonly SocketAddress[], bytes: Buffer | undefined): void {
+  /** Undefined bytes stand for a message that was too large; nothing is sent. */
+  sendIfEncoded(addresses: readonly SocketAddress[], bytes: Buffer | undefined): void {
     if (bytes !== undefined) {
       this.sendTo(addresses, bytes);
     }
--- a/packages/forwarding/src/peers/readerLoss.test.ts
+++ b/packages/forwarding/src/peers/readerLoss.test.ts
@@ -19,7 +19,9 @@
 const REQUEST_AGES_MS: readonly number[] = [0, 700, 1_400, 2_100];
 
 const killReaders = (fleet: DaemonFleet): readonly FleetMember[] => {
-  const readers = fleet.members.filter(({ board }) => board.own.length > 0);
+  const readers = fleet.members.filter(
+    ({ readerRegistry }) => readerRegistry.ownReports.length > 0,
+  );
   readers.forEach((reader) => {
     fleet.network.setDown(reader.self.host, true);
     fleet.stopMember(reader);
--- /dev/null
+++ b/packages/forwarding/src/peers/readerRegistry.ts
@@ -0,0 +1,370 @@
+/**
+ * Tracks which daemons read the store's change feeds, and relays what they read. The other daemons
+ * follow the reports of these readers and ask the store only after a loss, because feeds of all
+ * daemons would be most of the store's load. Changes are known everywhere just as soon, and a
+ * daemon that the store rejects still knows whether its configuration is current.
+ */
+import { forgetOldest } from '@snipehaven/common';
+import type { TableChanges } from './changesMessage.js';
+import type { LoadMessage, ReaderReport, TableReport } from './loadMessage.js';
+import { READER_ORDER } from './rendezvousOrder.js';
+
+interface ReaderState {
+  readonly vm: string;
+  readonly dataCentre: string;
+  readonly report: TableReport;
+  /** When the reader last reported a newer store time. */
+  readonly advancedAtMs: number;
+  /** When the reader last reported, directly or through an aggregator. */
+  readonly heardAtMs: number;
+}
+
+/** The current time, and the maximum time since a reader last reported a newer store time. */
+export interface ReportQuery {
+  readonly nowMs: number;
+  readonly maxAgeMs: number;
+}
+
+/** The newest values over all readers of a table. */
+export interface LatestReport {
+  readonly lastChange: number;
+  readonly serverTimeMs: number;
+}
+
+/**
+ * Readers of a small fleet: a minimum, plus more with the number of daemons. A reader's connection
+ * may go silent, and a third of all machines may be disconnected at once; one working reader is
+ * enough for the others to learn of changes in time.
+ */
+const MIN_READERS = 2;
+const DAEMONS_PER_READER = 8;
+
+/** More than a burst of changes; those that are dropped are read from the store. */
+const MAX_PENDING_CHANGES = 40;
+
+/**
+ * Up to this many daemons use a full mesh. In larger fleets, loads and reader reports go through
+ * the aggregator of each data centre; changes go to the own data centre and to one daemon of each
+ * other data centre, which relays them there.
+ */
+export const MAX_MESH_DAEMONS = 16;
+
+/**
+ * Readers of a large fleet, each in its own data centre. One is enough to spread a change; the
+ * other continues while the first one's connection is silent or its data centre is down. A
+ * disconnected data centre hears of neither and has a reader of its own.
+ */
+const LARGE_FLEET_READERS = 2;
+
+/**
+ * A reader that has not reported for this long is considered stopped or unreachable. The age of its
+ * reports cannot show this: a running reader has no newer report while the store holds its request.
+ */
+const READER_TIMEOUT_MS = 1_500;
+
+/**
+ * How long readers have to report to a new aggregator, directly or through the aggregate of another
+ * data centre.
+ */
+const NEW_AGGREGATOR_GRACE_MS = 700;
+
+/**
+ * More than the concurrent readers of a table; bounds memory, as replaced VMs never report again.
+ */
+const MAX_LOST_READERS = 64;
+
+/** How long a report is relayed although it does not advance; longer than the wait of any table. */
+const MAX_RELAY_AGE_MS = 11_500;
+
+const hasReportedRecently = ({ heardAtMs }: ReaderState, nowMs: number): boolean =>
+  nowMs - heardAtMs < READER_TIMEOUT_MS;
+
+export class ReaderRegistry {
+  readonly #vm: string;
+
+  /** Keyed by table, then by reader. */
+  readonly #readersByTable = new Map<string, Map<string, ReaderState>>();
+
+  readonly #ownReports = new Map<string, TableReport>();
+
+  /** Relayed changes that have not been applied yet, keyed by table. */
+  readonly #pendingChanges = new Map<string, TableChanges[]>();
+
+  /** Readers that an update no longer listed, until they report again, keyed by table. */
+  readonly #lostReaders = new Map<string, Set<string>>();
+
+  /** The newest store version up to which changes were read or relayed, keyed by table. */
+  readonly #newestVersions = new Map<string, number>();
+
+  readonly #dataCentre: string;
+
+  #waiters: (() => void)[] = [];
+
+  #onOwnChanges: (changes: TableChanges) => void = () => {};
+
+  /** Keyed by table. */
+  readonly #updateListeners = new Map<string, () => void>();
+
+  constructor(vm: string, dataCentre: string) {
+    this.#vm = vm;
+    this.#dataCentre = dataCentre;
+  }
+
+  /** Reports on the tables that this daemon reads itself. */
+  get ownReports(): readonly TableReport[] {
+    return [...this.#ownReports.values()];
+  }
+
+  /** Sets the listener for changes that this daemon reads itself. */
+  onOwnChanges(listener: (changes: TableChanges) => void): void {
+    this.#onOwnChanges = listener;
+  }
+
+  /**
+   * Calls the listener when changes of the table are relayed or a reader reports a newer store time
+   * for it. Returns a function that removes the listener.
+   */
+  onUpdate(table: string, listener: () => void): () => void {
+    this.#updateListeners.set(table, listener);
+    return () => this.#updateListeners.delete(table);
+  }
+
+  publishReport(report: TableReport): void {
+    this.#ownReports.set(report.table, report);
+  }
+
+  /** Passes changes that this daemon read to the listener of `onOwnChanges`. */
+  publishChanges(changes: TableChanges): void {
+    this.#advanceVersion(changes.table, changes.upTo);
+    this.#onOwnChanges(changes);
+  }
+
+  /** Returns false if changes up to the same version were known before. */
+  receiveChanges(changes: TableChanges): boolean {
+    const { table, upTo } = changes;
+    const pending = this.#pendingChanges.get(table) ?? [];
+    pending.push(changes);
+    this.#pendingChanges.set(table, pending.slice(-MAX_PENDING_CHANGES));
+    this.#wakeWaiters();
+    this.#updateListeners.get(table)?.();
+    return this.#advanceVersion(table, upTo);
+  }
+
+  /** Relayed changes that continue from the version without a gap, if any. */
+  findChanges(table: string, version: number): TableChanges | undefined {
+    const pending = (this.#pendingChanges.get(table) ?? []).filter(({ upTo }) => upTo > version);
+    this.#pendingChanges.set(table, pending);
+    return pending.find(({ after }) => after <= version);
+  }
+
+  /**
+   * Whether changes after the version were relayed, but none that continue from it without a gap.
+   */
+  hasGap(table: string, version: number): boolean {
+    const pending = this.#pendingChanges.get(table) ?? [];
+    return (
+      this.findChanges(table, version) === undefined && pending.some(({ upTo }) => upTo > version)
+    );
+  }
+
+  /** Removes this daemon's report: it no longer reads the table, or cannot reach the store. */
+  withdraw(table: string): void {
+    this.#ownReports.delete(table);
+  }
+
+  /** Replaces the reports of one daemon. */
+  receiveReports({ vm, dataCentre, news: reports }: LoadMessage, nowMs: number): void {
+    const readerReports = reports.map((one) => ({ ...one, vm, dataCentre }));
+    this.#replaceReports(readerReports, (reader) => reader.vm === vm, nowMs);
+  }
+
+  /**
+   * Replaces the reports of all readers, or of those in one data centre, by an aggregator's list.
+   */
+  receiveReaders(readers: readonly ReaderReport[], nowMs: number, dataCentre?: string): void {
+    const others = readers.filter(({ vm }) => vm !== this.#vm);
+    const isInScope = (reader: ReaderState): boolean =>
+      dataCentre === undefined || reader.dataCentre === dataCentre;
+    this.#replaceReports(others, isInScope, nowMs);
+  }
+
+  /** The reports of this daemon and of the known readers, for relaying. */
+  listReaders(nowMs: number): readonly ReaderReport[] {
+    const own = this.ownReports.map((one) => ({
+      ...one,
+      vm: this.#vm,
+      dataCentre: this.#dataCentre,
+    }));
+    const reader = [...this.#readersByTable.values()].flatMap((readers) => [...readers.values()]);
+    const fresh = reader.filter(
+      (one) => nowMs - one.advancedAtMs < MAX_RELAY_AGE_MS && hasReportedRecently(one, nowMs),
+    );
+    const toReader = ({ vm, dataCentre, report }: ReaderState) => ({
+      ...report,
+      vm,
+      dataCentre,
+    });
+    return [...own, ...fresh.map(toReader)];
+  }
+
+  /** Whether enough other daemons read the table, so that this one need not. */
+  hasEnoughReaders(table: string, daemons: number, query: ReportQuery): boolean {
+    const preceding = this.#listActive(table, query).filter(({ vm }) =>
+      READER_ORDER.isBefore(vm, this.#vm),
+    );
+    if (daemons <= MAX_MESH_DAEMONS) {
+      return preceding.length >= MIN_READERS + Math.ceil(daemons / DAEMONS_PER_READER);
+    }
+    const dataCentres = new Set(preceding.map(({ dataCentre }) => dataCentre));
+    return dataCentres.has(this.#dataCentre) || dataCentres.size >= LARGE_FLEET_READERS;
+  }
+
+  /**
+   * Whether a daemon that lost the store can rely on other readers, whatever their order. Asking on
+   * at the pace of a reader would cost a call per table every 0.3 s for as long as the store
+   * rejects this daemon.
+   */
+  canRelyOnReaders(table: string, daemons: number, query: ReportQuery): boolean {
+    const active = this.#listActive(table, query);
+    return daemons <= MAX_MESH_DAEMONS
+      ? this.#countLocal(active) >= MIN_READERS
+      : active.length > 0;
+  }
+
+  /** Former readers of the table that stopped reading it or have not reported recently. */
+  listLostReaders(table: string, nowMs: number): ReadonlySet<string> {
+    const silent = [...(this.#readersByTable.get(table)?.values() ?? [])].filter(
+      (reader) => !hasReportedRecently(reader, nowMs),
+    );
+    return new Set([...(this.#lostReaders.get(table) ?? []), ...silent.map(({ vm }) => vm)]);
+  }
+
+  /**
+   * Gives readers a grace period when this daemon becomes aggregator, because they report to it
+   * only from now on. The previous aggregator gets none.
+   */
+  extendReaderTimeouts(previousAggregator: string | undefined, nowMs: number): void {
+    for (const readers of this.#readersByTable.values()) {
+      for (const reader of readers.values()) {
+        if (reader.vm !== previousAggregator) {
+          const heardAtMs = Math.max(
+            reader.heardAtMs,
+            nowMs - READER_TIMEOUT_MS + NEW_AGGREGATOR_GRACE_MS,
+          );
+          readers.set(reader.vm, { ...reader, heardAtMs });
+        }
+      }
+    }
+  }
+
+  /** Undefined if there is no reader within the query's age. */
+  getLatestReport(table: string, query: ReportQuery): LatestReport | undefined {
+    const fresh = this.#listFresh(table, query);
+    if (fresh.length === 0) {
+      return undefined;
+    }
+    return {
+      lastChange: Math.max(...fresh.map(({ report }) => report.lastChange)),
+      serverTimeMs: Math.max(...fresh.map(({ report }) => report.serverTimeMs)),
+    };
+  }
+
+  /** Resolves at the next update, or after the given time. */
+  async waitForUpdate(waitMs: number): Promise<void> {
+    await new Promise<void>((resolve) => {
+      const timer = setTimeout(resolve, waitMs);
+      this.#waiters.push(() => {
+        clearTimeout(timer);
+        resolve();
+      });
+    });
+  }
+
+  #countLocal(readers: readonly ReaderState[]): number {
+    return readers.filter(({ dataCentre }) => dataCentre === this.#dataCentre).length;
+  }
+
+  /** Returns true if the version is newer than all before. */
+  #advanceVersion(table: string, version: number): boolean {
+    const isNew = version > (this.#newestVersions.get(table) ?? 0);
+    if (isNew) {
+      this.#newestVersions.set(table, version);
+    }
+    return isNew;
+  }
+
+  /**
+   * Replaces all known reports that are in scope; readers that are no longer listed become lost
+   * readers.
+   */
+  #replaceReports(
+    reports: readonly ReaderReport[],
+    isInScope: (reader: ReaderState) => boolean,
+    nowMs: number,
+  ): void {
+    const listed = new Set(reports.map(({ table, vm }) => `${table}/${vm}`));
+    const lost = [...this.#readersByTable.values()]
+      .flatMap((readers) => [...readers.values()])
+      .filter((reader) => isInScope(reader) && !listed.has(`${reader.report.table}/${reader.vm}`));
+    lost.forEach(({ vm, report: { table } }) => {
+      this.#readersByTable.get(table)?.delete(vm);
+      this.#addLostReader(table, vm);
+    });
+    if (lost.length > 0) {
+      this.#wakeWaiters();
+    }
+    const advancedReports = reports.filter((one) => this.#recordReport(one, nowMs));
+    if (advancedReports.length > 0) {
+      this.#wakeWaiters();
+      new Set(advancedReports.map(({ table }) => table)).forEach((table) =>
+        this.#updateListeners.get(table)?.(),
+      );
+    }
+  }
+
+  /** Returns true if the reader reports a newer store time. */
+  #recordReport(
+    { vm, dataCentre, table, lastChange, serverTimeMs }: ReaderReport,
+    nowMs: number,
+  ): boolean {
+    const readers = this.#readersByTable.get(table) ?? new Map<string, ReaderState>();
+    const known = readers.get(vm);
+    const isAdvanced = known === undefined || known.report.serverTimeMs < serverTimeMs;
+    const advancedAtMs = isAdvanced ? nowMs : known.advancedAtMs;
+    readers.set(vm, {
+      vm,
+      dataCentre,
+      report: { table, lastChange, serverTimeMs },
+      advancedAtMs,
+      heardAtMs: nowMs,
+    });
+    this.#readersByTable.set(table, readers);
+    this.#lostReaders.get(table)?.delete(vm);
+    return isAdvanced;
+  }
+
+  #addLostReader(table: string, vm: string): void {
+    const lost = this.#lostReaders.get(table) ?? new Set<string>();
+    lost.add(vm);
+    forgetOldest(lost, MAX_LOST_READERS);
+    this.#lostReaders.set(table, lost);
+  }
+
+  /** Readers that have reported recently and whose report is not too old. */
+  #listActive(table: string, query: ReportQuery): readonly ReaderState[] {
+    return this.#listFresh(table, query).filter((reader) =>
+      hasReportedRecently(reader, query.nowMs),
+    );
+  }
+
+  #listFresh(table: string, { nowMs, maxAgeMs }: ReportQuery): readonly ReaderState[] {
+    const readers = [...(this.#readersByTable.get(table)?.values() ?? [])];
+    return readers.filter(({ advancedAtMs }) => nowMs - advancedAtMs < maxAgeMs);
+  }
+
+  #wakeWaiters(): void {
+    const pending = this.#waiters;
+    this.#waiters = [];
+    pending.forEach((resolve) => resolve());
+  }
+}
--- a/packages/forwarding/src/peers/roster.ts
+++ b/packages/forwarding/src/peers/roster.ts
@@ -1,16 +1,17 @@
 /**
- * Who is there: daemons tell one other, drawn anew, whom they know and when each was last heard of.
- * What starts is known to its data centre at once, by its hello; this repairs what was lost, and
- * forgets who is gone.
+ * Membership list of the fleet, spread by gossip: each daemon periodically sends its roster, with
+ * the time since each member was last heard of, to a random other daemon. A starting daemon becomes
+ * known to its data centre at once by its hello; gossip repairs losses and removes daemons that are
+ * gone.
  */
 import type { PeerDirectory, Peer } from './peerDirectory.js';
 import type { RosterEntry } from './joinMessages.js';
 
 /**
- * A daemon that lives is heard of by all within 45 s, at 400 daemons that tell one other each 3 s; one
- * that is gone for good stays in no list for longer than this.
+ * With 400 daemons that each send a roster every 3 s, a live daemon is heard of by all others
+ * within 45 s. A daemon that is gone stays in no roster for longer than this.
  */
-const FORGET_MS = 120_000;
+const EXPIRY_MS = 120_000;
 
 export class Roster {
   readonly #directory: PeerDirectory;
@@ -21,8 +22,8 @@
     this.#directory = directory;
   }
 
-  /** The daemon was heard, or heard of, at that moment. */
-  note(peer: Peer, heardAtMs: number): void {
+  /** Records that the daemon was heard of at that time, directly or through a roster. */
+  record(peer: Peer, heardAtMs: number): void {
     const known = this.#heardAtMs.get(peer.vm);
     if (known !== undefined && known >= heardAtMs) {
       return;
@@ -33,11 +34,11 @@
 
   merge(entries: readonly RosterEntry[], nowMs: number): void {
     entries
-      .filter(({ ageMs }) => ageMs < FORGET_MS)
-      .forEach(({ peer, ageMs }) => this.note(peer, nowMs - ageMs));
+      .filter(({ ageMs }) => ageMs < EXPIRY_MS)
+      .forEach(({ peer, ageMs }) => this.record(peer, nowMs - ageMs));
   }
 
-  /** This daemon among them. */
+  /** Includes this daemon. */
   list(nowMs: number): readonly RosterEntry[] {
     const others = this.#directory.all.map((peer) => ({
       peer,
@@ -46,9 +47,9 @@
     return [{ peer: this.#directory.self, ageMs: 0 }, ...others];
   }
 
-  forgetGone(nowMs: number): void {
+  removeExpired(nowMs: number): void {
     for (const [vm, heardAtMs] of this.#heardAtMs) {
-      if (nowMs - heardAtMs > FORGET_MS) {
+      if (nowMs - heardAtMs > EXPIRY_MS) {
         this.#heardAtMs.delete(vm);
         this.#directory.remove(vm);
       }
--- a/packages/forwarding/src/peers/learned.ts
+++ b/packages/forwarding/src/peers/sharedStatistics.ts
@@ -1,7 +1,7 @@
 /**
- * What daemons learn of engines, added up over the fleet. One of 195 sees two requests a second: alone
- * it takes half a minute to learn how fast engines read and which models are asked for, and meanwhile
- * it thinks long prompts late that are not.
+ * Statistics on engines that daemons share and add up over the fleet. One of 195 daemons sees two
+ * requests a second: alone it would take half a minute to learn the engines' speed and the demand
+ * for each model, and meanwhile it would expect long prompts to be late that are not.
  */
 import {
   NO_ANSWERS,
@@ -12,7 +12,7 @@
   type VersionCounts,
 } from '@snipehaven/policy';
 
-/** How fast a service's upstreams got through work. */
+/** Throughput of a service's upstreams. */
 export interface ServicePace extends PaceSum {
   readonly service: string;
 }
@@ -42,15 +42,15 @@
   candidateAtFullShare: new Map(),
 };
 
-export interface Learned {
+export interface SharedStatistics {
   readonly paces: readonly ServicePace[];
   readonly demands: readonly ServiceModelWork[];
   readonly rollouts: readonly ServiceRolloutCounts[];
 }
 
-export const NOTHING_LEARNED: Learned = { paces: [], demands: [], rollouts: [] };
+export const NO_STATISTICS: SharedStatistics = { paces: [], demands: [], rollouts: [] };
 
-/** Adds up items with the same key. */
+/** Combines items with the same key. */
 const sumBy = <Item>(
   items: readonly Item[],
   getKey: (item: Item) => string,
@@ -94,7 +94,7 @@
   bad: Math.max(0, a.bad - b.bad),
 });
 
-export const sumLearned = (all: readonly Learned[]): Learned => ({
+export const sumStatistics = (all: readonly SharedStatistics[]): SharedStatistics => ({
   paces: sumBy(
     all.flatMap(({ paces }) => paces),
     ({ service }) => service,
--- a/packages/forwarding/src/peers/testSupport/daemonFleet.ts
+++ b/packages/forwarding/src/peers/testSupport/daemonFleet.ts
@@ -1,62 +1,62 @@
-/**
- * Many daemons in one process, over a network and a store in memory and a faked clock: what they tell
- * and read.
- */
+/** Simulates many daemons in one process with an in-memory network and store and a fake clock. */
 import type { Clock } from '@sinonjs/fake-timers';
 import { createRandom, createSilentLogger } from '@snipehaven/common';
 import { Freshness } from '../../configuration/freshness.js';
 import { StoreClock } from '../../configuration/storeClock.js';
 import { TableWatcher } from '../../store/tableWatcher.js';
 import { MemoryStore } from '../../store/testSupport/memoryStore.js';
-import type { Learned, RolloutCounts } from '../learned.js';
+import type { SharedStatistics, RolloutCounts } from '../sharedStatistics.js';
 import type { UpstreamLoad } from '../loadMessage.js';
-import { NewsBoard } from '../newsBoard.js';
+import { ReaderRegistry } from '../readerRegistry.js';
 import { PeerDirectory, type Peer } from '../peerDirectory.js';
 import { PeerExchange } from '../peerExchange.js';
 import { PeerLoads } from '../peerLoads.js';
 import { DatagramNetwork, type Traffic } from './datagramNetwork.js';
 
-export interface TableReading {
+export interface WatchedTable {
   readonly watcher: TableWatcher;
   readonly freshness: Freshness;
   readonly known: Set<string>;
-  /** When the table was first known, on the steady clock. */
+  /** When the table was first known, on the monotonic clock. */
   knownAtMs: number | undefined;
-  /** How often the store was said to be back. */
-  backs: number;
+  /** Number of `onBack` calls. */
+  recoveries: number;
 }
 
 export interface FleetMember {
   readonly self: Peer;
   readonly directory: PeerDirectory;
   readonly loads: PeerLoads;
-  readonly board: NewsBoard;
+  readonly readerRegistry: ReaderRegistry;
   readonly exchange: PeerExchange;
-  /** What it has at upstreams now; the fleet's owner changes it. */
-  readonly own: Map<string, UpstreamLoad>;
+  /** Current loads of this daemon at the upstreams; changed by the test. */
+  readonly ownLoads: Map<string, UpstreamLoad>;
   /** Empty unless the fleet has a store. */
-  readonly tables: readonly TableReading[];
+  readonly tables: readonly WatchedTable[];
 }
 
 export interface FleetOptions {
   readonly daemons: number;
   readonly dataCentres: number;
   readonly lossShare?: number;
-  /** One way between two daemons, their own slowness with it. */
+  /** One-way delay between two daemons, including their own processing. */
   readonly delayMs?: number;
   readonly seed?: number;
-  /** Daemons that the settings of all name; they learn of the others by them. None: all know all. */
+  /**
+   * Number of seed daemons through which the others are discovered; with none, all daemons know
+   * each other from the start.
+   */
   readonly seeds?: number;
-  /** Tables of a store that all follow. */
+  /** Tables of the store that all daemons follow. */
   readonly tables?: readonly string[];
 }
 
-/** Of a region, where daemons have nothing else to do. */
+/** Typical of a region with idle daemons. */
 const DELAY_MS = 1;
 
 const SEED = 1;
 
-/** Promises are kept between steps of the faked clock. */
+/** Pending promises are run after each step of the fake clock. */
 const STEP_MS = 5;
 
 const TABLE_WAIT_MS = 2_400;
@@ -68,7 +68,7 @@
   port: 7_000,
 });
 
-const { setImmediate: waitForTurn } = globalThis;
+const { setImmediate: runPendingCallbacks } = globalThis;
 
 /** Counts that each daemon reports for a roll-out of the service `s`. */
 const OWN_ROLLOUT_COUNTS: RolloutCounts = {
@@ -114,8 +114,7 @@
   }
 
   /**
-   * Starts them one after another within a third of a second: timers of real daemons do not tick
-   * together.
+   * Starts the daemons spread over a third of a second, as timers of real daemons are not in phase.
    */
   async start(members: readonly FleetMember[] = this.members): Promise<void> {
     const gapMs = 333 / members.length;
@@ -137,17 +136,17 @@
     tables.forEach(({ watcher }) => watcher.stop());
   }
 
-  /** Lets time pass, with what promises wait for. */
+  /** Advances the clock in steps and runs pending promises after each. */
   async advance(durationMs: number): Promise<void> {
     for (let leftMs = durationMs; leftMs > 0; leftMs -= STEP_MS) {
       this.#clock.tick(Math.min(STEP_MS, leftMs));
       await new Promise((resolve) => {
-        waitForTurn(resolve);
+        runPendingCallbacks(resolve);
       });
     }
   }
 
-  /** In the mean over daemons and seconds. */
+  /** Mean per daemon and second. */
   measureTraffic(durationMs: number): Traffic {
     this.network.clearTraffic();
     this.#clock.tick(durationMs);
@@ -161,10 +160,10 @@
     const random = createRandom(seed);
     const directory = new PeerDirectory(self, random);
     const loads = new PeerLoads();
-    const board = new NewsBoard(self.vm, self.dataCentre);
-    const own = new Map<string, UpstreamLoad>();
+    const readerRegistry = new ReaderRegistry(self.vm, self.dataCentre);
+    const ownLoads = new Map<string, UpstreamLoad>();
     const clock = new StoreClock();
-    const learned: Learned = {
+    const learned: SharedStatistics = {
       paces: [
         {
           service: 's',
@@ -178,11 +177,11 @@
       demands: [{ service: 's', model: 'm', work: 10 }],
       rollouts: [{ service: 's', orderVersion: 1, ...OWN_ROLLOUT_COUNTS }],
     };
-    const tables: TableReading[] = [];
+    const tables: WatchedTable[] = [];
     const exchange = new PeerExchange({
       directory,
       loads,
-      board,
+      readerRegistry,
       clock,
       port: this.network.createPort(self),
       seeds: this.#selves.slice(0, this.#options.seeds ?? 0),
@@ -191,23 +190,23 @@
       meter: { countDatagram: () => {} },
       random,
       processId: seed,
-      readOwnLoads: () => new Map(own),
-      readOwnLearned: () => learned,
-      takeCrashNews: () => {},
-      takeBadVersion: () => {},
+      readOwnLoads: () => new Map(ownLoads),
+      readOwnStatistics: () => learned,
+      onCrashReport: () => {},
+      onBadVersion: () => {},
     });
-    const member = { self, directory, loads, board, exchange, own, tables };
+    const member = { self, directory, loads, readerRegistry, exchange, ownLoads, tables };
     const names = this.#options.tables ?? [];
-    tables.push(...names.map((table) => this.#createReading(table, member, clock, seed)));
+    tables.push(...names.map((table) => this.#createWatchedTable(table, member, clock, seed)));
     return member;
   }
 
-  #createReading(
+  #createWatchedTable(
     table: string,
-    { self, board, exchange }: FleetMember,
+    { self, readerRegistry, exchange }: FleetMember,
     clock: StoreClock,
     seed: number,
-  ): TableReading {
+  ): WatchedTable {
     const freshness = new Freshness(clock);
     const known = new Set<string>();
     const watcher = new TableWatcher({
@@ -219,22 +218,28 @@
         onAll: (rows) => {
           known.clear();
           rows.forEach(({ key }) => known.add(key));
-          reading.knownAtMs ??= performance.now();
+          watchedTable.knownAtMs ??= performance.now();
         },
         onChange: ({ key, value }) => (value === undefined ? known.delete(key) : known.add(key)),
         onBack: () => {
-          reading.backs += 1;
+          watchedTable.recoveries += 1;
         },
       },
       logger: createSilentLogger(),
       random: createRandom(seed),
       freshness,
-      board,
+      readerRegistry,
       countDaemons: () => exchange.daemons,
       getReaderRank: (lostReaders) => exchange.getReaderRank(lostReaders),
       source: exchange,
     });
-    const reading: TableReading = { watcher, freshness, known, knownAtMs: undefined, backs: 0 };
-    return reading;
+    const watchedTable: WatchedTable = {
+      watcher,
+      freshness,
+      known,
+      knownAtMs: undefined,
+      recoveries: 0,
+    };
+    return watchedTable;
   }
 }
--- a/packages/forwarding/src/peers/testSupport/datagramNetwork.ts
+++ b/packages/forwarding/src/peers/testSupport/datagramNetwork.ts
@@ -1,4 +1,7 @@
-/** A network of datagrams in memory: delays, losses, cuts, and what each daemon sent and got. */
+/**
+ * In-memory datagram network with delays, losses and partitions that measures the traffic of each
+ * daemon.
+ */
 import type { Random } from '@snipehaven/common';
 import type { DatagramPort } from '../datagramPort.js';
 import type { Peer } from '../peerDirectory.js';
@@ -16,16 +19,16 @@
   receivedBytes: number;
 }
 
-type Take = (bytes: Buffer, host: string) => void;
+type DatagramListener = (bytes: Buffer, host: string) => void;
 
 export class DatagramNetwork {
   readonly #options: NetworkOptions;
 
-  readonly #takers = new Map<string, Take>();
+  readonly #listeners = new Map<string, DatagramListener>();
 
   readonly #down = new Set<string>();
 
-  /** Data centres that nothing comes out of or gets into. */
+  /** Data centres that are disconnected from all others. */
   readonly #cut = new Set<string>();
 
   readonly #dataCentres = new Map<string, string>();
@@ -36,7 +39,7 @@
     this.#options = options;
   }
 
-  /** Datagrams of all daemons. */
+  /** Traffic of each daemon. */
   get traffic(): readonly Traffic[] {
     return [...this.#traffic.values()];
   }
@@ -45,7 +48,7 @@
     this.#traffic.clear();
   }
 
-  /** Nothing reaches the host or leaves it. */
+  /** Disconnects the host completely. */
   setDown(host: string, isDown: boolean): void {
     if (isDown) {
       this.#down.add(host);
@@ -65,12 +68,12 @@
   createPort(self: Peer): DatagramPort {
     this.#dataCentres.set(self.host, self.dataCentre);
     return {
-      open: (take) => {
-        this.#takers.set(self.host, take);
+      open: (listener) => {
+        this.#listeners.set(self.host, listener);
         return Promise.resolve();
       },
       send: (bytes, { host }) => this.#send(bytes, self.host, host),
-      close: () => this.#takers.delete(self.host),
+      close: () => this.#listeners.delete(self.host),
     };
   }
 
@@ -84,14 +87,14 @@
   }
 
   #deliver(bytes: Buffer, from: string, to: string): void {
-    const take = this.#takers.get(to);
-    if (take === undefined || this.#isBlocked(from, to)) {
+    const listener = this.#listeners.get(to);
+    if (listener === undefined || this.#isBlocked(from, to)) {
       return;
     }
     const traffic = this.#getTraffic(to);
     traffic.received += 1;
     traffic.receivedBytes += bytes.length;
-    take(bytes, from);
+    listener(bytes, from);
   }
 
   #isBlocked(from: string, to: string): boolean {
--- a/packages/forwarding/src/peers/testSupport/fleetSuite.ts
+++ b/packages/forwarding/src/peers/testSupport/fleetSuite.ts
@@ -1,11 +1,11 @@
-/** A suite whose tests play fleets under a faked clock, one after another. */
+/** Test suite for simulated fleets with a fake clock, one fleet per test at a time. */
 import FakeTimers, { type Clock } from '@sinonjs/fake-timers';
 import { suite, type Test } from 'uvu';
 import { DaemonFleet, type FleetOptions } from './daemonFleet.js';
 
 export interface FleetContext {
   clock: Clock;
-  /** Stopped after the test. */
+  /** Stopped automatically after the test. */
   fleet: DaemonFleet | undefined;
 }
 
@@ -24,7 +24,7 @@
   return test;
 };
 
-/** A fleet that has not started. */
+/** Creates a fleet without starting it. */
 export const createFleet = (context: FleetContext, options: FleetOptions): DaemonFleet => {
   const fleet = new DaemonFleet(context.clock, options);
   context.fleet = fleet;
--- a/packages/forwarding/src/store/readerCover.ts
+++ b/packages/forwarding/src/store/readerRole.ts
@@ -1,10 +1,10 @@
 /** Whether others read a table for this daemon, and when it is its turn to read. */
-import type { BestNews, NewsBoard, NewsQuery } from '../peers/index.js';
+import type { LatestReport, ReaderRegistry, ReportQuery } from '../peers/index.js';
 
 export interface CoverOptions {
   readonly table: string;
   /** What other daemons read of the table. */
-  readonly board: NewsBoard;
+  readonly readerRegistry: ReaderRegistry;
   /** How long the store may hold a question; asked anew for each. */
   readonly getWaitMs: () => number;
   countDaemons(): number;
@@ -47,21 +47,25 @@
   }
 
   /** What readers say; undefined while none is heard that has the store's word. */
-  get best(): BestNews | undefined {
-    const { board, table } = this.#options;
-    return board.getBest(table, this.#getNewsQuery());
+  get best(): LatestReport | undefined {
+    const { readerRegistry, table } = this.#options;
+    return readerRegistry.getLatestReport(table, this.#getNewsQuery());
   }
 
   /** Whether others read, be they too few, so that a daemon that lost the store need not ask. */
   get canLean(): boolean {
-    const { board, table } = this.#options;
-    return board.canLean(table, this.#options.countDaemons(), this.#getNewsQuery());
+    const { readerRegistry, table } = this.#options;
+    return readerRegistry.canRelyOnReaders(
+      table,
+      this.#options.countDaemons(),
+      this.#getNewsQuery(),
+    );
   }
 
   /** Whether this daemon told others of the table last time. */
   get isReading(): boolean {
-    const { board, table } = this.#options;
-    return board.own.some((news) => news.table === table);
+    const { readerRegistry, table } = this.#options;
+    return readerRegistry.ownReports.some((news) => news.table === table);
   }
 
   /** The store turned this daemon away, or did not answer. */
@@ -75,13 +79,17 @@
 
   /** Whether enough others read; if so, this daemon says no more that it does. */
   checkCovered(): boolean {
-    const { board, table } = this.#options;
+    const { readerRegistry, table } = this.#options;
     const isCovered =
       performance.now() < this.#leansUntilMs
         ? this.canLean
-        : board.isCovered(table, this.#options.countDaemons(), this.#getNewsQuery());
+        : readerRegistry.hasEnoughReaders(
+            table,
+            this.#options.countDaemons(),
+            this.#getNewsQuery(),
+          );
     if (isCovered) {
-      board.withdraw(table);
+      readerRegistry.withdraw(table);
       this.#uncoveredSinceMs = undefined;
     }
     return isCovered;
@@ -90,8 +98,8 @@
   /** Whether those that come before had their time to take the reading over. */
   isOwnTurn(): boolean {
     const nowMs = performance.now();
-    const { board, table, getReaderRank } = this.#options;
-    const rank = getReaderRank(board.listLostReaders(table, nowMs));
+    const { readerRegistry, table, getReaderRank } = this.#options;
+    const rank = getReaderRank(readerRegistry.listLostReaders(table, nowMs));
     if (rank === undefined) {
       this.#uncoveredSinceMs = nowMs;
       return false;
@@ -104,7 +112,7 @@
    * A reader whose feed went silent says nothing new; its question is given up a little after its wait.
    * Where the wait has just become shorter, readers may still be at the longer one.
    */
-  #getNewsQuery(): NewsQuery {
+  #getNewsQuery(): ReportQuery {
     const nowMs = performance.now();
     const waitMs = this.#options.getWaitMs();
     if (waitMs >= this.#longWaitMs || nowMs > this.#longWaitEndsAtMs) {
--- a/packages/forwarding/src/store/tableWatcher.test.ts
+++ b/packages/forwarding/src/store/tableWatcher.test.ts
@@ -3,7 +3,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { Freshness } from '../configuration/freshness.js';
-import { NewsBoard } from '../peers/index.js';
+import { ReaderRegistry } from '../peers/index.js';
 import { TableWatcher } from './tableWatcher.js';
 import { MemoryStore } from './testSupport/memoryStore.js';
 
@@ -16,14 +16,14 @@
 
 interface Daemon {
   readonly vm: string;
-  readonly board: NewsBoard;
+  readonly readerRegistry: ReaderRegistry;
   readonly watcher: TableWatcher;
   readonly known: Set<string>;
   readonly freshness: Freshness;
 }
 
 const createDaemon = (vm: string, store: MemoryStore): Daemon => {
-  const board = new NewsBoard(vm, 'a');
+  const readerRegistry = new ReaderRegistry(vm, 'a');
   const known = new Set<string>();
   const freshness = new Freshness();
   const watcher = new TableWatcher({
@@ -44,11 +44,11 @@
     logger: createSilentLogger(),
     random: createRandom(1),
     freshness,
-    board,
+    readerRegistry,
     countDaemons: () => DAEMONS,
     getReaderRank: () => 0,
   });
-  return { vm, board, watcher, known, freshness };
+  return { vm, readerRegistry, watcher, known, freshness };
 };
 
 const TELL_MS = 10;
@@ -58,7 +58,7 @@
   let sequence = 0;
   const tell = (from: Daemon): void => {
     sequence += 1;
-    const { vm, board } = from;
+    const { vm, readerRegistry } = from;
     const origin = { vm, dataCentre: 'a', process: 1, sequence };
     const message = {
       ...origin,
@@ -70,11 +70,18 @@
     };
     daemons
       .filter((to) => to !== from)
-      .forEach((to) => to.board.take({ ...message, news: board.own }, performance.now()));
+      .forEach((to) =>
+        to.readerRegistry.receiveReports(
+          { ...message, news: readerRegistry.ownReports },
+          performance.now(),
+        ),
+      );
   };
   daemons.forEach((from) =>
-    from.board.onOwnChanges((changes) => {
-      daemons.filter((to) => to !== from).forEach((to) => to.board.takeChanges(changes));
+    from.readerRegistry.onOwnChanges((changes) => {
+      daemons
+        .filter((to) => to !== from)
+        .forEach((to) => to.readerRegistry.receiveChanges(changes));
       tell(from);
     }),
   );
@@ -100,7 +107,11 @@
     void watcher.run();
   });
   try {
-    await waitUntil(() => daemons.filter(({ board }) => board.own.length > 0).length === READERS);
+    await waitUntil(
+      () =>
+        daemons.filter(({ readerRegistry }) => readerRegistry.ownReports.length > 0).length ===
+        READERS,
+    );
     await act(store, daemons);
   } finally {
     clearInterval(telling);
@@ -114,7 +125,9 @@
 // later than what the others have.
 test('followers take changes from readers, whatever else the store counts', async () => {
   await play(async (store, daemons) => {
-    const followers = daemons.filter(({ board }) => board.own.length === 0);
+    const followers = daemons.filter(
+      ({ readerRegistry }) => readerRegistry.ownReports.length === 0,
+    );
     await sleep(WAIT_MS * 2);
     const before = followers.map(({ vm }) => store.getCalls(vm));
     for (const key of ['second', 'third', 'fourth']) {
@@ -137,14 +150,14 @@
 // removal; the next change comes. Cause: a gap in what was passed on that nobody notices.
 test('a follower that missed a change asks the store for it', async () => {
   await play(async (store, daemons) => {
-    const follower = daemons.find(({ board }) => board.own.length === 0);
+    const follower = daemons.find(({ readerRegistry }) => readerRegistry.ownReports.length === 0);
     assert.ok(follower);
-    const { board } = follower;
-    const takeChanges = board.takeChanges.bind(board);
-    board.takeChanges = () => false;
+    const { readerRegistry } = follower;
+    const takeChanges = readerRegistry.receiveChanges.bind(readerRegistry);
+    readerRegistry.receiveChanges = () => false;
     store.remove('first');
     await waitUntil(() => !daemons.some((one) => one !== follower && one.known.has('first')));
-    board.takeChanges = takeChanges;
+    readerRegistry.receiveChanges = takeChanges;
     store.put('second');
     await waitUntil(() => follower.known.has('second') && !follower.known.has('first'));
   });
@@ -163,7 +176,9 @@
   });
   try {
     await waitUntil(() =>
-      daemons.every(({ board, known }) => board.own.length > 0 && known.size > 0),
+      daemons.every(
+        ({ readerRegistry, known }) => readerRegistry.ownReports.length > 0 && known.size > 0,
+      ),
     );
     await act(store, daemons);
   } finally {
@@ -220,7 +235,9 @@
 // asked nobody.
 test('a follower whose time of day stepped asks the store itself, and is fresh again', async () => {
   await play(async (store, daemons) => {
-    const followers = daemons.filter(({ board }) => board.own.length === 0);
+    const followers = daemons.filter(
+      ({ readerRegistry }) => readerRegistry.ownReports.length === 0,
+    );
     const before = followers.map(({ vm }) => store.getCalls(vm));
     const readTime = Date.now;
     Date.now = () => readTime() + STEP_MS;
--- a/packages/forwarding/src/store/tableWatcher.ts
+++ b/packages/forwarding/src/store/tableWatcher.ts
@@ -9,7 +9,7 @@
 import type { Freshness } from '../configuration/freshness.js';
 import { readClocks, type ClockReading } from '../configuration/storeClock.js';
 import { HistoryGoneError } from '../errors.js';
-import { SMALL_FLEET } from '../peers/index.js';
+import { MAX_MESH_DAEMONS } from '../peers/index.js';
 import { ReaderCover, type CoverOptions } from './readerCover.js';
 import { TableCopy, findNewest } from './tableCopy.js';
 import type {
@@ -167,7 +167,7 @@
     if (this.#cover.best === undefined) {
       // Changes from a new reader can arrive before its news.
       this.#takePassedOn();
-      await this.#options.board.waitForNews(MAX_TURN_WAIT_MS);
+      await this.#options.readerRegistry.waitForUpdate(MAX_TURN_WAIT_MS);
     } else {
       await this.#follow(asked, MAX_TURN_WAIT_MS);
     }
@@ -192,7 +192,7 @@
     this.#noteBack('readers');
     this.#takePassedOn();
     if (this.#useNews()) {
-      await this.#options.board.waitForNews(waitMs);
+      await this.#options.readerRegistry.waitForUpdate(waitMs);
       return;
     }
     await this.#awaitPassedOn();
@@ -203,26 +203,26 @@
 
   /** Waits until what readers know of was passed on, for a while. */
   async #awaitPassedOn(): Promise<void> {
-    const { board, table } = this.#options;
-    const isSmallFleet = this.#options.countDaemons() <= SMALL_FLEET;
+    const { readerRegistry, table } = this.#options;
+    const isSmallFleet = this.#options.countDaemons() <= MAX_MESH_DAEMONS;
     const startedAtMs = performance.now();
     const getLeftMs = (): number => {
       // Changes missing before later ones were probably lost; the store is asked for them sooner.
-      const hasGap = board.hasGap(table, this.#copy.version ?? 0);
+      const hasGap = readerRegistry.hasGap(table, this.#copy.version ?? 0);
       const waitMs = isSmallFleet || hasGap ? PASS_ON_MS : PASS_ON_LARGE_MS;
       return startedAtMs + waitMs - performance.now();
     };
     while (getLeftMs() > 0 && !this.#useNews()) {
-      await board.waitForNews(getLeftMs());
+      await readerRegistry.waitForUpdate(getLeftMs());
       this.#takePassedOn();
     }
   }
 
   #takePassedOn(): void {
-    const { board, table, listener } = this.#options;
+    const { readerRegistry, table, listener } = this.#options;
     for (;;) {
       const version = this.#copy.version ?? 0;
-      const changes = board.findChanges(table, version);
+      const changes = readerRegistry.findChanges(table, version);
       if (changes === undefined) {
         return;
       }
@@ -249,9 +249,9 @@
   }
 
   #publish(): void {
-    const { board, table } = this.#options;
+    const { readerRegistry, table } = this.#options;
     const { lastChange, serverTimeMs } = this.#copy;
-    board.publish({ table, lastChange, serverTimeMs });
+    readerRegistry.publishReport({ table, lastChange, serverTimeMs });
   }
 
   /** Resolves with the store's clock as it answered. */
@@ -276,7 +276,7 @@
   }
 
   async #readChanges(waitMs: number): Promise<number> {
-    const { table, gatherMs, listener, board } = this.#options;
+    const { table, gatherMs, listener, readerRegistry } = this.#options;
     // From the change before on, not from the question: a follower's version stands at that change.
     const after = this.#copy.knownFrom;
     const { items, version: upTo, serverTimeMs } = await this.#askForChanges(waitMs);
@@ -286,7 +286,7 @@
     news.forEach((change) => listener.onChange(change, serverTimeMs));
     if (items.length > 0) {
       this.#publish();
-      board.publishChanges({ table, after, upTo, serverTimeMs, items });
+      readerRegistry.publishChanges({ table, after, upTo, serverTimeMs, items });
       await sleep(gatherMs);
     }
     return serverTimeMs;
@@ -294,8 +294,8 @@
 
   /** Applies other readers' changes and confirmations while the store request is pending. */
   async #askForChanges(waitMs: number): Promise<StorePage<StoreChange>> {
-    const { store, table, board } = this.#options;
-    const stopListening = board.onNews(table, () => {
+    const { store, table, readerRegistry } = this.#options;
+    const stopListening = readerRegistry.onUpdate(table, () => {
       this.#takePassedOn();
       this.#useNews();
     });
@@ -327,8 +327,8 @@
   }
 
   async #recover(error: unknown): Promise<void> {
-    const { logger, table, board } = this.#options;
-    board.withdraw(table);
+    const { logger, table, readerRegistry } = this.#options;
+    readerRegistry.withdraw(table);
     if (error instanceof HistoryGoneError) {
       logger.info({ event: 'historyGone', table }, 'feed history gone; reading the table again');
       this.#copy.forget();
@@ -349,7 +349,7 @@
 
   /** Waits before the store is asked again, or until others have its word. */
   async #backOff(): Promise<void> {
-    const { random, board } = this.#options;
+    const { random, readerRegistry } = this.#options;
     const ownMs = Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** Math.min(6, this.#failures - 1));
     const rank = this.#copy.version === undefined ? 0 : (this.#options.getReaderRank() ?? 0);
     const rankedMs = Math.min(MAX_RANKED_BACKOFF_MS, ownMs * (1 + rank) ** 2);
@@ -361,7 +361,7 @@
     const endAtMs = performance.now() + waitMs;
     const isOver = (): boolean => performance.now() >= endAtMs || this.#cover.canLean;
     while (!isOver()) {
-      await board.waitForNews(endAtMs - performance.now());
+      await readerRegistry.waitForUpdate(endAtMs - performance.now());
     }
   }
 }
