--- a/packages/forwarding/src/configuration/configurationHolder.ts
+++ b/packages/forwarding/src/configuration/configurationHolder.ts
@@ -1,4 +1,4 @@
-/** The configuration in force: swapped whole, never for an older version. */
+/** The configuration in force. It is replaced as a whole, and never by an older version. */
 import type { Logger } from '@snipehaven/common';
 import type { ForwardConfiguration } from '../types.js';
 import { Freshness } from './freshness.js';
@@ -30,7 +30,7 @@
     this.#listeners.push(listener);
   }
 
-  /** Takes a configuration into force unless it is older than the present one. */
+  /** Ignores a configuration that is not newer than the present one. */
   apply(configuration: ForwardConfiguration): void {
     const present = this.#table?.configuration.version ?? -1;
     if (configuration.version <= present) {
--- a/packages/forwarding/src/configuration/freshness.test.ts
+++ b/packages/forwarding/src/configuration/freshness.test.ts
@@ -1,4 +1,4 @@
-/** How old a configuration may be taken to be: held answers, suspensions, jumps of the time of day. */
+/** Age of the configuration with held answers, suspended machines and steps of the wall clock. */
 import FakeTimers, { type Clock } from '@sinonjs/fake-timers';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -10,9 +10,9 @@
   freshness: Freshness;
 }
 
-/** The store's steady clock starts elsewhere than ours. */
+/** The store's monotonic clock has another origin than ours. */
 const STORE_AHEAD_MS = 70_000;
-const getStoreMs = (): number => performance.now() + STORE_AHEAD_MS;
+const getStoreTimeMs = (): number => performance.now() + STORE_AHEAD_MS;
 
 const test = suite<Context>('freshness', {} as Context);
 
@@ -23,51 +23,52 @@
 
 test.after.each(({ clock }) => clock.uninstall());
 
-const ask = ({ clock, freshness }: Context, heldMs: number, backMs: number): void => {
+const receiveAnswer = ({ clock, freshness }: Context, holdMs: number, returnMs: number): void => {
   const asked = readClocks();
-  clock.tick(heldMs);
-  const serverTimeMs = getStoreMs();
-  clock.tick(backMs);
+  clock.tick(holdMs);
+  const serverTimeMs = getStoreTimeMs();
+  clock.tick(returnMs);
   freshness.confirm({ asked, serverTimeMs });
 };
 
-test('nothing is fresh before the first answer', ({ freshness }) => {
+test('the age is infinite before the first answer', ({ freshness }) => {
   assert.is(freshness.ageMs, Infinity);
 });
 
-// Symptom: keyed requests are refused a second after the store went away. Sequence: a feed is held for
-// its whole wait and answers; the next one breaks. Cause: the state was dated by the question.
-test('a held answer tells the state at the answer', (context) => {
-  ask(context, 2, 2);
-  ask(context, 2_000, 2);
+// Guards against dating the state by the request. After a feed that was held for its whole wait,
+// keyed requests would be refused a second after the store went down.
+test('a held answer confirms the state at the time of the answer', (context) => {
+  receiveAnswer(context, 2, 2);
+  receiveAnswer(context, 2_000, 2);
   assert.ok(context.freshness.ageMs <= 4, String(context.freshness.ageMs));
 });
 
-// Symptom: a revoked key is let in. Sequence: an answer is long on its way back. Cause: the state was
-// dated by the answer's arrival.
-test('the way back of an answer does not make it fresher', (context) => {
-  ask(context, 2, 2);
-  ask(context, 2_000, 3_000);
+// Guards against dating the state by the arrival of the answer. If the answer is delayed, a revoked
+// key would be accepted.
+test('the delay of an answer on its way back counts towards the age', (context) => {
+  receiveAnswer(context, 2, 2);
+  receiveAnswer(context, 2_000, 3_000);
   assert.ok(context.freshness.ageMs >= 3_000);
 });
 
-// Symptom: a revoked key is let in after a suspension. Sequence: the machine sleeps while a feed is
-// held; the steady clock stands still. Cause: the offset to the store's clock is from before.
-test('after a suspension only the question’s time counts, by the time of day', (context) => {
+// Guards against a revoked key that is accepted after a suspension. The monotonic clock stands
+// still while the machine sleeps, so the offset to the store's clock from before is no longer
+// valid.
+test('after a suspension the age counts from the request, by the wall clock', (context) => {
   const { clock, freshness } = context;
-  ask(context, 2, 2);
+  receiveAnswer(context, 2, 2);
   const asked = readClocks();
   clock.tick(100);
   clock.setSystemTime(Date.now() + 4_000);
-  freshness.confirm({ asked, serverTimeMs: getStoreMs() + 4_000 });
+  freshness.confirm({ asked, serverTimeMs: getStoreTimeMs() + 4_000 });
   assert.ok(freshness.ageMs >= 4_100);
-  ask(context, 2_000, 2);
+  receiveAnswer(context, 2_000, 2);
   assert.ok(freshness.ageMs <= 2_002);
 });
 
-test('a time of day that jumps forward makes it older, one that jumps back does not make it younger', (context) => {
+test('the age grows when the wall clock steps forward and does not shrink when it steps back', (context) => {
   const { clock, freshness } = context;
-  ask(context, 2, 2);
+  receiveAnswer(context, 2, 2);
   clock.setSystemTime(Date.now() + 2_400);
   assert.ok(freshness.ageMs >= 2_400);
   clock.setSystemTime(Date.now() - 9_000);
@@ -75,21 +76,21 @@
   assert.ok(freshness.ageMs >= 500);
 });
 
-// Symptom: keyed requests are refused for good though the store is well. Sequence: a daemon lives by
-// readers' news; its time of day steps. Cause: its offset to the store's clock is unsure, and it went
-// on.
-test('after a step of the time of day others’ news say that they confirm nothing', (context) => {
+// Guards against a follower that refuses keyed requests permanently although the store is
+// reachable. A step of its wall clock invalidates its offset to the store's clock, and reports of
+// readers do not restore it.
+test('after a step of the wall clock, reports of others do not confirm the state', (context) => {
   const { clock, freshness } = context;
-  ask(context, 2, 2);
+  receiveAnswer(context, 2, 2);
   clock.tick(1_000);
-  assert.ok(freshness.confirmByPeer(getStoreMs()));
+  assert.ok(freshness.confirmByPeer(getStoreTimeMs()));
   assert.ok(freshness.ageMs <= 4);
   clock.setSystemTime(Date.now() - 2_400);
   clock.tick(1_000);
-  assert.not(freshness.confirmByPeer(getStoreMs()));
-  ask(context, 2, 2);
+  assert.not(freshness.confirmByPeer(getStoreTimeMs()));
+  receiveAnswer(context, 2, 2);
   clock.tick(1_000);
-  assert.ok(freshness.confirmByPeer(getStoreMs()));
+  assert.ok(freshness.confirmByPeer(getStoreTimeMs()));
 });
 
 test.run();
--- a/packages/forwarding/src/configuration/freshness.ts
+++ b/packages/forwarding/src/configuration/freshness.ts
@@ -1,12 +1,21 @@
 /**
- * How old what we know of the store may be. A machine that was suspended wakes with a steady clock
- * that did not count the pause, so a configuration confirmed before it looks fresh and revoked keys
- * would still be let in. The time of day counted the pause; the older of both readings is taken. A
- * time of day that jumps forward makes knowledge look older, which is safe: it is confirmed anew.
+ * The maximum age of what is known of the store. The monotonic clock of a suspended machine does
+ * not count the pause, so a configuration confirmed before it would look fresh and revoked keys
+ * would be accepted. The wall clock counts the pause, so the greater age of both clocks is used. A
+ * wall clock that steps forward only makes the state look older, which is safe: it is confirmed
+ * again.
  */
-import { StoreClock, getAhead, isSameAhead, readClocks, type ClockReading } from './storeClock.js';
+import {
+  StoreClock,
+  getClockOffsetMs,
+  isSameClockOffset,
+  readClocks,
+  type ClockReading,
+} from './storeClock.js';
 
-/** An answer of the store: when it was asked for, and the store's steady clock as it answered. */
+/**
+ * An answer of the store: when it was requested, and the store's monotonic clock when it answered.
+ */
 export interface StoreAnswer {
   readonly asked: ClockReading;
   readonly serverTimeMs: number;
@@ -22,28 +31,32 @@
   }
 
   /**
-   * Confirms what is known by an answer of the store. An answer held back by the store tells its state
-   * at the answer, not at the question, two or three seconds earlier: that moment is known by the
-   * store's steady clock, as all earlier answers came after their questions. Where the clocks jumped
-   * since, only the question's time is sure.
+   * Confirms the state by an answer of the store. An answer that the store held back shows its
+   * state at the time of the answer, two or three seconds after the request. That time is derived
+   * from the store's monotonic clock, because all earlier answers came after their requests. If one
+   * of the clocks has stepped since, only the time of the request is certain.
    */
   confirm({ asked, serverTimeMs }: StoreAnswer): void {
-    const ahead = getAhead(readClocks());
-    const wasSure = this.#clock.noteAnswer(asked.steadyMs, serverTimeMs);
-    const answeredMs = this.#clock.toSteadyMs(serverTimeMs);
-    if (!wasSure || answeredMs === undefined || !isSameAhead(getAhead(asked), ahead)) {
+    const clockOffsetMs = getClockOffsetMs(readClocks());
+    const wasCertain = this.#clock.noteAnswer(asked.steadyMs, serverTimeMs);
+    const answeredAtMs = this.#clock.toSteadyMs(serverTimeMs);
+    if (
+      !wasCertain ||
+      answeredAtMs === undefined ||
+      !isSameClockOffset(getClockOffsetMs(asked), clockOffsetMs)
+    ) {
       this.#confirmed = asked;
       return;
     }
-    const steadyMs = Math.max(asked.steadyMs, answeredMs);
-    this.#confirmed = { steadyMs, timeOfDayMs: steadyMs + ahead };
+    const steadyMs = Math.max(asked.steadyMs, answeredAtMs);
+    this.#confirmed = { steadyMs, timeOfDayMs: steadyMs + clockOffsetMs };
   }
 
   /**
-   * Confirms by what another daemon heard of the store at that time on the store's steady clock. False
-   * when our offset to that clock is not sure, as after a step of the time of day: only an answer to a
-   * question of ours finds it anew. A follower that went on with others' news refused keyed requests
-   * from then on.
+   * Confirms the state by what another daemon received at that time of the store's monotonic clock.
+   * Returns false if the offset to that clock is not certain, as after a step of the wall clock;
+   * only an answer to an own request restores it. A follower that went on with reports of others
+   * refused keyed requests from then on.
    */
   confirmByPeer(serverTimeMs: number): boolean {
     const steadyMs = this.#clock.toSteadyMs(serverTimeMs);
@@ -51,7 +64,7 @@
       return false;
     }
     if (steadyMs > (this.#confirmed?.steadyMs ?? -Infinity)) {
-      this.#confirmed = { steadyMs, timeOfDayMs: steadyMs + getAhead(readClocks()) };
+      this.#confirmed = { steadyMs, timeOfDayMs: steadyMs + getClockOffsetMs(readClocks()) };
     }
     return true;
   }
--- a/packages/forwarding/src/configuration/routeTable.ts
+++ b/packages/forwarding/src/configuration/routeTable.ts
@@ -1,7 +1,7 @@
-/** Looks up the route, service and team of a request in one whole configuration. */
+/** Looks up the route, service and team of a request in one configuration. */
 import type { ForwardConfiguration, ForwardRoute, ForwardTeam, ServicePool } from '../types.js';
 
-const byFallingLength = (a: ForwardRoute, b: ForwardRoute): number =>
+const byDescendingPrefixLength = (a: ForwardRoute, b: ForwardRoute): number =>
   b.pathPrefix.length - a.pathPrefix.length;
 
 const groupByHost = (
@@ -13,7 +13,7 @@
     group.push(route);
     groups.set(route.host, group);
   }
-  groups.forEach((group) => group.sort(byFallingLength));
+  groups.forEach((group) => group.sort(byDescendingPrefixLength));
   return groups;
 };
 
@@ -42,7 +42,10 @@
     configuration.services.forEach((service) => this.#services.set(service.name, service));
   }
 
-  /** Of the host's routes, the one with the longest prefix that begins the path as it came. */
+  /**
+   * The host's route with the longest matching path prefix. The path is compared as received,
+   * without normalization.
+   */
   findRoute(host: string, target: string): ForwardRoute | undefined {
     const path = getPath(target);
     return this.#routesByHost
--- a/packages/forwarding/src/configuration/storeClock.ts
+++ b/packages/forwarding/src/configuration/storeClock.ts
@@ -1,6 +1,6 @@
 /**
- * The store's steady clock, as far as this daemon can tell it from its own: by answers of the store, or
- * by what another daemon knows of it. All that is dated by the store's clock goes by this one.
+ * Estimates the store's monotonic clock relative to this daemon's, from answers of the store or
+ * from bounds sent by other daemons. All timestamps of the store are converted by it.
  */
 
 export interface ClockReading {
@@ -13,64 +13,76 @@
   timeOfDayMs: Date.now(),
 });
 
-/** How far the time of day is ahead of the steady clock; it changes by jumps and by suspensions. */
-export const getAhead = ({ steadyMs, timeOfDayMs }: ClockReading): number => timeOfDayMs - steadyMs;
+/**
+ * The offset of the wall clock from the monotonic clock; it changes when the clock steps and when
+ * the machine is suspended.
+ */
+export const getClockOffsetMs = ({ steadyMs, timeOfDayMs }: ClockReading): number =>
+  timeOfDayMs - steadyMs;
 
-/** The time of day drifts by less than this between two answers of the store. */
+/** The wall clock drifts by less than this between two answers of the store. */
 const MAX_DRIFT_MS = 50;
 
-export const isSameAhead = (a: number, b: number): boolean => Math.abs(a - b) < MAX_DRIFT_MS;
+export const isSameClockOffset = (a: number, b: number): boolean => Math.abs(a - b) < MAX_DRIFT_MS;
 
-/** A time on the store's steady clock, as far as it is known. */
+/** Bounds of a time on the store's monotonic clock. */
 export interface StoreTimeBounds {
   readonly atMostMs: number;
   readonly atLeastMs?: number;
 }
 
 interface Offset {
-  /** The least that our steady clock can be ahead of the store's. */
+  /** Lower bound of our monotonic clock minus the store's. */
   readonly leastMs: number;
-  /** The most; Infinity while only bounds from the other side were heard. */
+  /** Upper bound; Infinity if only upper bounds of the store's time were received. */
   readonly mostMs: number;
-  /** Of our clocks when that was found: where it differs, one of them jumped, or stood still. */
-  readonly ahead: number;
+  /**
+   * The offset of our own clocks when the bounds were found. If it has changed, a clock has stepped
+   * or stood still.
+   */
+  readonly clockOffsetMs: number;
 }
 
 export class StoreClock {
   #offset: Offset | undefined;
 
   /**
-   * An answer came after its question, so the store's clock stood there no earlier than ours at the
-   * question, and no later than ours now. False when the offset was not known, or not sure any more, until
-   * now.
+   * The store's clock showed `serverTimeMs` after the request was sent and before now, which bounds
+   * the offset. Returns false if the offset was unknown, or no longer certain, until now.
    */
   noteAnswer(askedSteadyMs: number, serverTimeMs: number): boolean {
-    return this.#note(askedSteadyMs - serverTimeMs, performance.now() - serverTimeMs);
+    return this.#updateOffset(askedSteadyMs - serverTimeMs, performance.now() - serverTimeMs);
   }
 
   /**
-   * Another daemon said, after our question, what the store's clock showed at most and at least. It is as
-   * sure as an answer of the store, and looser by the way between the daemons.
+   * Uses bounds of the store's time that another daemon sent after our request. They are as certain
+   * as an answer of the store, and wider by the time between the daemons.
    */
   noteBounds(askedSteadyMs: number, { atMostMs, atLeastMs = -Infinity }: StoreTimeBounds): void {
-    this.#note(askedSteadyMs - atMostMs, performance.now() - atLeastMs);
+    this.#updateOffset(askedSteadyMs - atMostMs, performance.now() - atLeastMs);
   }
 
-  /** Our steady clock at that moment, or earlier; undefined where the offset is not sure. */
+  /** Our monotonic clock at that time or earlier; undefined if the offset is not certain. */
   toSteadyMs(serverTimeMs: number): number | undefined {
-    const offset = this.#getSoundOffset();
+    const offset = this.#getValidOffset();
     return offset === undefined ? undefined : serverTimeMs + offset.leastMs;
   }
 
-  /** Our steady clock at that moment, or later; undefined where that is not sure. */
+  /**
+   * Our monotonic clock at that time or later; undefined if the offset or its upper bound is not
+   * certain.
+   */
   toLatestSteadyMs(serverTimeMs: number): number | undefined {
-    const mostMs = this.#getSoundOffset()?.mostMs ?? Infinity;
+    const mostMs = this.#getValidOffset()?.mostMs ?? Infinity;
     return mostMs === Infinity ? undefined : serverTimeMs + mostMs;
   }
 
-  /** What the store's clock showed at a moment of our steady clock; undefined where that is not sure. */
+  /**
+   * Bounds of the store's time at a time of our monotonic clock; undefined if the offset is not
+   * certain.
+   */
   toStoreBounds(steadyMs: number): StoreTimeBounds | undefined {
-    const offset = this.#getSoundOffset();
+    const offset = this.#getValidOffset();
     if (offset === undefined) {
       return undefined;
     }
@@ -80,25 +92,29 @@
       : { atMostMs, atLeastMs: steadyMs - offset.mostMs };
   }
 
-  /** The store's clock less ours when last found, sure or not; undefined before. */
+  /**
+   * The last known offset of the store's clock from ours, certain or not; undefined before the
+   * first.
+   */
   get lastOffsetMs(): number | undefined {
     return this.#offset === undefined ? undefined : -this.#offset.leastMs;
   }
 
-  #getSoundOffset(): Offset | undefined {
+  #getValidOffset(): Offset | undefined {
     const offset = this.#offset;
-    return offset !== undefined && isSameAhead(offset.ahead, getAhead(readClocks()))
+    return offset !== undefined &&
+      isSameClockOffset(offset.clockOffsetMs, getClockOffsetMs(readClocks()))
       ? offset
       : undefined;
   }
 
-  #note(leastMs: number, mostMs: number): boolean {
-    const sound = this.#getSoundOffset();
+  #updateOffset(leastMs: number, mostMs: number): boolean {
+    const valid = this.#getValidOffset();
     this.#offset = {
-      leastMs: Math.max(leastMs, sound?.leastMs ?? -Infinity),
-      mostMs: Math.min(mostMs, sound?.mostMs ?? Infinity),
-      ahead: getAhead(readClocks()),
+      leastMs: Math.max(leastMs, valid?.leastMs ?? -Infinity),
+      mostMs: Math.min(mostMs, valid?.mostMs ?? Infinity),
+      clockOffsetMs: getClockOffsetMs(readClocks()),
     };
-    return sound !== undefined;
+    return valid !== undefined;
   }
 }
--- a/packages/forwarding/src/daemon/createWatchers.ts
+++ b/packages/forwarding/src/daemon/createWatchers.ts
@@ -60,7 +60,7 @@
 const watchOperator = (parts: WatchedParts): TableWatcher =>
   new TableWatcher({
     getWaitMs: () => OPERATOR_WAIT_MS,
-    gatherMs: OPERATOR_GATHER_MS,
+    batchDelayMs: OPERATOR_GATHER_MS,
     listener: new OperatorListener(parts),
     freshness: parts.configuration.freshness,
     ...getCommonOptions(parts, parts.adapter.tables.operator),
@@ -69,7 +69,7 @@
 const watchUpstreams = (parts: WatchedParts): TableWatcher =>
   new TableWatcher({
     getWaitMs: () => UPSTREAM_WAIT_MS,
-    gatherMs: UPSTREAM_GATHER_MS,
+    batchDelayMs: UPSTREAM_GATHER_MS,
     listener: new UpstreamListener(parts.adapter, parts.directory, parts.logger),
     freshness: new Freshness(parts.storeClock),
     ...getCommonOptions(parts, parts.adapter.tables.upstreams),
@@ -78,7 +78,7 @@
 const watchStatus = (parts: WatchedParts): TableWatcher =>
   new TableWatcher({
     getWaitMs: () => (parts.rollouts.isAnyRunning ? ROLLOUT_WAIT_MS : STATUS_WAIT_MS),
-    gatherMs: STATUS_GATHER_MS,
+    batchDelayMs: STATUS_GATHER_MS,
     listener: parts.statusListener,
     freshness: parts.statusFreshness,
     ...getCommonOptions(parts, parts.adapter.tables.status),
--- a/packages/forwarding/src/daemon/tableListeners.ts
+++ b/packages/forwarding/src/daemon/tableListeners.ts
@@ -46,7 +46,7 @@
     this.#decoder = new RowDecoder(options.logger);
   }
 
-  onAll(rows: readonly StoreRow[]): void {
+  onSnapshot(rows: readonly StoreRow[]): void {
     // An order that is new since this table was last confirmed is no older than that. Counted from its
     // reading, a roll-out ended after its time where the store's history was gone just then.
     const { ageMs } = this.#configuration.freshness;
@@ -102,7 +102,7 @@
     this.#decoder = new RowDecoder(logger);
   }
 
-  onAll(rows: readonly StoreRow[]): void {
+  onSnapshot(rows: readonly StoreRow[]): void {
     const known: Upstream[] = [];
     for (const row of rows) {
       const upstream = this.#restore(row);
@@ -125,7 +125,7 @@
     }
   }
 
-  onBack(): void {
+  onStoreRecovered(): void {
     this.#directory.noteStoreBack();
   }
 
@@ -181,7 +181,7 @@
     return this.#clock.lastOffsetMs ?? this.#firstOffsetMs;
   }
 
-  onAll(rows: readonly StoreRow[], serverTimeMs: number): void {
+  onSnapshot(rows: readonly StoreRow[], serverTimeMs: number): void {
     this.#firstOffsetMs = serverTimeMs - performance.now();
     // States first: evidence of a roll-out that is over must not be judged anew, as by a daemon that
     // starts.
--- a/packages/forwarding/src/peers/joinProtocol.test.ts
+++ b/packages/forwarding/src/peers/joinProtocol.test.ts
@@ -201,11 +201,7 @@
   await fleet.advance(1_500);
   const knowing = fleet.members.filter((member) => knowsRow(member, 'after'));
   assert.is(knowing.length, 195);
-  assert.ok(
-    fleet.members.every(({ tables }) =>
-      tables.every(({ recoveries }) => recoveries > 0),
-    ),
-  );
+  assert.ok(fleet.members.every(({ tables }) => tables.every(({ recoveries }) => recoveries > 0)));
 });
 
 // Guards against a data centre that relies on readers from which it is disconnected. It would
@@ -227,7 +223,7 @@
   const fleet = await startFleet(context, LARGE);
   const [first = ''] = READER_ORDER.rank(fleet.members.map(({ self }) => self.vm));
   const rejected = fleet.members.filter(({ self }, index) => self.vm === first || index % 3 === 0);
-  rejected.forEach(({ self }) => fleet.store.turnedAway.add(self.vm));
+  rejected.forEach(({ self }) => fleet.store.rejectedVms.add(self.vm));
   await fleet.advance(2_000);
   const countRejectedCalls = (): number =>
     rejected.reduce((sum, { self }) => sum + fleet.store.getCalls(self.vm), 0);
--- a/packages/forwarding/src/peers/testSupport/daemonFleet.ts
+++ b/packages/forwarding/src/peers/testSupport/daemonFleet.ts
@@ -212,16 +212,16 @@
     const watcher = new TableWatcher({
       table,
       getWaitMs: () => TABLE_WAIT_MS,
-      gatherMs: 0,
+      batchDelayMs: 0,
       store: this.store.createClient(self.vm),
       listener: {
-        onAll: (rows) => {
+        onSnapshot: (rows) => {
           known.clear();
           rows.forEach(({ key }) => known.add(key));
           watchedTable.knownAtMs ??= performance.now();
         },
         onChange: ({ key, value }) => (value === undefined ? known.delete(key) : known.add(key)),
-        onBack: () => {
+        onStoreRecovered: () => {
           watchedTable.recoveries += 1;
         },
       },
--- a/packages/forwarding/src/store/readerRole.ts
+++ b/packages/forwarding/src/store/readerRole.ts
@@ -1,124 +1,134 @@
-/** Whether others read a table for this daemon, and when it is its turn to read. */
+/** Decides whether this daemon reads a table itself or relies on other readers. */
 import type { LatestReport, ReaderRegistry, ReportQuery } from '../peers/index.js';
 
-export interface CoverOptions {
+export interface ReaderRoleOptions {
   readonly table: string;
-  /** What other daemons read of the table. */
+  /** Reports of the other daemons on the table. */
   readonly readerRegistry: ReaderRegistry;
-  /** How long the store may hold a question; asked anew for each. */
+  /** How long the store may hold a request; read anew for each. */
   readonly getWaitMs: () => number;
   countDaemons(): number;
   /**
-   * Number of known daemons that precede this one in the reading order, excluding lost readers;
+   * Number of known daemons that precede this one in the reader order, excluding lost readers;
    * undefined if this daemon must not read.
    */
   getReaderRank(lostReaders?: ReadonlySet<string>): number | undefined;
 }
 
-/** Beyond a reader's wait: the time-out of its question, and of datagrams between data centres. */
-const NEWS_AGE_MARGIN_MS = 900;
+/**
+ * Added to a reader's wait: allows for the time-out of its request and for datagrams between data
+ * centres.
+ */
+const REPORT_AGE_MARGIN_MS = 900;
 
 /**
- * While too few read, each daemon waits this long for each that comes before it: news of a new reader
- * are known in the region after two ticks in each of two data centres. With all taking over at once,
- * 195 daemons ask.
+ * While there are too few readers, each daemon waits this long for each daemon that precedes it: a
+ * new reader is known in the region after two ticks in each of two data centres. If all took over
+ * at once, 195 daemons would ask the store.
  */
-const TURN_MS = 400;
+const TAKEOVER_INTERVAL_MS = 400;
 
-/** A reader that lost the store asks it again after this, while others read. */
-const LEAN_MS = 2_000;
+/** A reader that lost the store asks it again after this time while others read. */
+const STORE_LOSS_BACKOFF_MS = 2_000;
 
-export class ReaderCover {
-  readonly #options: CoverOptions;
+export class ReaderRole {
+  readonly #options: ReaderRoleOptions;
 
-  /** Until then a daemon that lost the store leaves the reading to others, if there are any. */
-  #leansUntilMs = 0;
+  /** Until this time, a daemon that lost the store relies on other readers if there are any. */
+  #backsOffUntilMs = 0;
 
-  /** Since when too few others read; undefined while enough do. */
-  #uncoveredSinceMs: number | undefined;
+  /** Since when there have been too few other readers; undefined while there are enough. */
+  #tooFewReadersSinceMs: number | undefined;
 
-  /** The wait that readers' questions may have had until now, and when the last such one ends. */
-  #longWaitMs = 0;
+  /**
+   * The longest wait that pending requests of readers may still have, and the time when the last of
+   * them ends.
+   */
+  #maxWaitMs = 0;
 
-  #longWaitEndsAtMs = 0;
+  #maxWaitEndsAtMs = 0;
 
-  constructor(options: CoverOptions) {
+  constructor(options: ReaderRoleOptions) {
     this.#options = options;
   }
 
-  /** What readers say; undefined while none is heard that has the store's word. */
-  get best(): LatestReport | undefined {
+  /** The newest values over all readers; undefined if no reader has reached the store recently. */
+  get latestReport(): LatestReport | undefined {
     const { readerRegistry, table } = this.#options;
-    return readerRegistry.getLatestReport(table, this.#getNewsQuery());
+    return readerRegistry.getLatestReport(table, this.#getReportQuery());
   }
 
-  /** Whether others read, be they too few, so that a daemon that lost the store need not ask. */
-  get canLean(): boolean {
+  /**
+   * Whether there are other readers, even if too few, so that a daemon that lost the store need not
+   * ask it.
+   */
+  get canRelyOnReaders(): boolean {
     const { readerRegistry, table } = this.#options;
     return readerRegistry.canRelyOnReaders(
       table,
       this.#options.countDaemons(),
-      this.#getNewsQuery(),
+      this.#getReportQuery(),
     );
   }
 
-  /** Whether this daemon told others of the table last time. */
+  /** Whether this daemon currently reports on the table as a reader. */
   get isReading(): boolean {
     const { readerRegistry, table } = this.#options;
     return readerRegistry.ownReports.some((news) => news.table === table);
   }
 
-  /** The store turned this daemon away, or did not answer. */
-  noteLost(): void {
-    this.#leansUntilMs = performance.now() + LEAN_MS;
+  /** The store rejected this daemon or did not answer. */
+  noteStoreLost(): void {
+    this.#backsOffUntilMs = performance.now() + STORE_LOSS_BACKOFF_MS;
   }
 
-  noteAnswer(): void {
-    this.#leansUntilMs = 0;
+  noteStoreAnswer(): void {
+    this.#backsOffUntilMs = 0;
   }
 
-  /** Whether enough others read; if so, this daemon says no more that it does. */
-  checkCovered(): boolean {
+  /** Whether enough other daemons read the table; if so, this daemon withdraws its own report. */
+  checkEnoughReaders(): boolean {
     const { readerRegistry, table } = this.#options;
     const isCovered =
-      performance.now() < this.#leansUntilMs
-        ? this.canLean
+      performance.now() < this.#backsOffUntilMs
+        ? this.canRelyOnReaders
         : readerRegistry.hasEnoughReaders(
             table,
             this.#options.countDaemons(),
-            this.#getNewsQuery(),
+            this.#getReportQuery(),
           );
     if (isCovered) {
       readerRegistry.withdraw(table);
-      this.#uncoveredSinceMs = undefined;
+      this.#tooFewReadersSinceMs = undefined;
     }
     return isCovered;
   }
 
-  /** Whether those that come before had their time to take the reading over. */
+  /** Whether the daemons that precede this one have had time to take over reading. */
   isOwnTurn(): boolean {
     const nowMs = performance.now();
     const { readerRegistry, table, getReaderRank } = this.#options;
     const rank = getReaderRank(readerRegistry.listLostReaders(table, nowMs));
     if (rank === undefined) {
-      this.#uncoveredSinceMs = nowMs;
+      this.#tooFewReadersSinceMs = nowMs;
       return false;
     }
-    this.#uncoveredSinceMs ??= nowMs;
-    return nowMs - this.#uncoveredSinceMs >= TURN_MS * rank;
+    this.#tooFewReadersSinceMs ??= nowMs;
+    return nowMs - this.#tooFewReadersSinceMs >= TAKEOVER_INTERVAL_MS * rank;
   }
 
   /**
-   * A reader whose feed went silent says nothing new; its question is given up a little after its wait.
-   * Where the wait has just become shorter, readers may still be at the longer one.
+   * A reader whose feed has gone silent reports nothing new, and gives up its request a little
+   * after the wait. If the wait has just become shorter, readers may still have requests with the
+   * longer one.
    */
-  #getNewsQuery(): ReportQuery {
+  #getReportQuery(): ReportQuery {
     const nowMs = performance.now();
     const waitMs = this.#options.getWaitMs();
-    if (waitMs >= this.#longWaitMs || nowMs > this.#longWaitEndsAtMs) {
-      this.#longWaitMs = waitMs;
-      this.#longWaitEndsAtMs = nowMs + waitMs;
+    if (waitMs >= this.#maxWaitMs || nowMs > this.#maxWaitEndsAtMs) {
+      this.#maxWaitMs = waitMs;
+      this.#maxWaitEndsAtMs = nowMs + waitMs;
     }
-    return { nowMs, maxAgeMs: this.#longWaitMs + NEWS_AGE_MARGIN_MS };
+    return { nowMs, maxAgeMs: this.#maxWaitMs + REPORT_AGE_MARGIN_MS };
   }
 }
--- a/packages/forwarding/src/store/tableReplica.ts
+++ b/packages/forwarding/src/store/tableReplica.ts
@@ -1,26 +1,28 @@
-/** A table as this daemon knows it, with the versions that tell how far its changes are in it. */
+/** This daemon's replica of a table, with the versions up to which it is complete. */
 import type { StoreChange, StoreRow, TableSnapshot } from './types.js';
 
-/** The newest version among the items, or the one given where none is newer. */
-export const findNewest = (version: number, items: readonly StoreChange[]): number =>
+/** The newest version among the items, but at least the given one. */
+export const findNewestVersion = (version: number, items: readonly StoreChange[]): number =>
   Math.max(version, ...items.map((item) => item.version));
 
-export class TableCopy {
+export class TableReplica {
   readonly #table: string;
 
   readonly #rows = new Map<string, StoreRow>();
 
-  /** Undefined: the table must be read whole. */
+  /** Undefined if the table must be read completely. */
   #version: number | undefined;
 
   /**
-   * The last change of the table that is known. Versions are the store's own, of all tables: what
-   * changes elsewhere raises `#version`, not this.
+   * Version of the last known change of the table. Versions count changes of all tables in the
+   * store, so changes elsewhere raise `#version` but not this.
    */
   #lastChange = 0;
 
-  /** When the table was last read whole: a row may have been removed just before. */
-  #readWholeAt = 0;
+  /**
+   * Version at which the table was last read completely; a row may have been removed just before.
+   */
+  #fullReadVersion = 0;
 
   #serverTimeMs = 0;
 
@@ -36,17 +38,17 @@
     return this.#lastChange;
   }
 
-  /** The store's clock when it last said that the table is so. */
+  /** The store's monotonic clock when it last confirmed this state of the table. */
   get serverTimeMs(): number {
     return this.#serverTimeMs;
   }
 
-  /** From which version on this daemon knows all changes. */
-  get knownFrom(): number {
-    return Math.max(this.#lastChange, this.#readWholeAt);
+  /** The version from which on this daemon knows all changes. */
+  get changesKnownFrom(): number {
+    return Math.max(this.#lastChange, this.#fullReadVersion);
   }
 
-  /** Undefined before the table was first known. */
+  /** Undefined until the table is first known. */
   get snapshot(): TableSnapshot | undefined {
     if (this.#version === undefined) {
       return undefined;
@@ -60,21 +62,21 @@
     };
   }
 
-  /** Takes a whole table in place of what was known. */
+  /** Replaces the replica by a complete table. */
   replace({ rows, version, lastChange, serverTimeMs }: Omit<TableSnapshot, 'table'>): void {
     this.#rows.clear();
     rows.forEach((row) => this.#rows.set(row.key, row));
     this.#version = version;
-    this.#readWholeAt = version;
+    this.#fullReadVersion = version;
     this.#lastChange = lastChange;
     this.#serverTimeMs = serverTimeMs;
   }
 
-  /** Takes all changes up to a version of the store; returns those that were not known. */
-  take(changes: readonly StoreChange[], upTo: number): readonly StoreChange[] {
+  /** Applies all changes up to a version of the store; returns those that were new. */
+  apply(changes: readonly StoreChange[], upTo: number): readonly StoreChange[] {
     const known = this.#version ?? 0;
-    const news = changes.filter(({ version }) => version > known);
-    for (const { key, value, version } of news) {
+    const newChanges = changes.filter(({ version }) => version > known);
+    for (const { key, value, version } of newChanges) {
       if (value === undefined) {
         this.#rows.delete(key);
       } else {
@@ -82,17 +84,17 @@
       }
     }
     this.#version = Math.max(known, upTo);
-    this.#lastChange = findNewest(this.#lastChange, news);
-    return news;
+    this.#lastChange = findNewestVersion(this.#lastChange, newChanges);
+    return newChanges;
   }
 
-  /** The table was so at that moment, too. */
+  /** Records that the table was unchanged at that time. */
   confirm(serverTimeMs: number): void {
     this.#serverTimeMs = Math.max(this.#serverTimeMs, serverTimeMs);
   }
 
-  /** Changes may have been missed: the table must be read whole. */
-  forget(): void {
+  /** Changes may have been missed, so the table must be read completely. */
+  invalidate(): void {
     this.#version = undefined;
   }
 }
--- a/packages/forwarding/src/store/tableWatcher.test.ts
+++ b/packages/forwarding/src/store/tableWatcher.test.ts
@@ -1,4 +1,6 @@
-/** Readers of a table and their followers over a store in memory: who asks it, and how often. */
+/**
+ * Readers and followers of a table with an in-memory store: which daemons make calls, and how many.
+ */
 import { createRandom, createSilentLogger, sleep } from '@snipehaven/common';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -29,10 +31,10 @@
   const watcher = new TableWatcher({
     table: TABLE,
     getWaitMs: () => WAIT_MS,
-    gatherMs: 0,
+    batchDelayMs: 0,
     store: store.createClient(vm),
     listener: {
-      onAll: (rows) => rows.forEach(({ key }) => known.add(key)),
+      onSnapshot: (rows) => rows.forEach(({ key }) => known.add(key)),
       onChange: ({ key, value }) => {
         if (value === undefined) {
           known.delete(key);
@@ -51,17 +53,17 @@
   return { vm, readerRegistry, watcher, known, freshness };
 };
 
-const TELL_MS = 10;
+const REPORT_INTERVAL_MS = 10;
 
-/** All hear all, as by datagrams: at each change and now and then. */
+/** Connects all daemons as datagrams do: reports are sent after each change and periodically. */
 const connect = (daemons: readonly Daemon[]): NodeJS.Timeout => {
   let sequence = 0;
-  const tell = (from: Daemon): void => {
+  const sendReports = (from: Daemon): void => {
     sequence += 1;
     const { vm, readerRegistry } = from;
-    const origin = { vm, dataCentre: 'a', process: 1, sequence };
+    const sender = { vm, dataCentre: 'a', process: 1, sequence };
     const message = {
-      ...origin,
+      ...sender,
       loads: new Map(),
       scope: 'own' as const,
       readers: [],
@@ -82,10 +84,10 @@
       daemons
         .filter((to) => to !== from)
         .forEach((to) => to.readerRegistry.receiveChanges(changes));
-      tell(from);
+      sendReports(from);
     }),
   );
-  return setInterval(() => daemons.forEach(tell), TELL_MS);
+  return setInterval(() => daemons.forEach(sendReports), REPORT_INTERVAL_MS);
 };
 
 const waitUntil = async (holds: () => boolean): Promise<void> => {
@@ -95,14 +97,14 @@
   assert.ok(holds());
 };
 
-/** Runs daemons until a few of them read and the others follow; then plays. */
-const play = async (
+/** Runs daemons until a few of them read and the others follow, then calls `act`. */
+const runWithFollowers = async (
   act: (store: MemoryStore, daemons: readonly Daemon[]) => Promise<void>,
 ): Promise<void> => {
   const store = new MemoryStore();
   store.put('first');
   const daemons = Array.from({ length: DAEMONS }, (_, index) => createDaemon(`vm-${index}`, store));
-  const telling = connect(daemons);
+  const reportTimer = connect(daemons);
   daemons.forEach(({ watcher }) => {
     void watcher.run();
   });
@@ -114,17 +116,17 @@
     );
     await act(store, daemons);
   } finally {
-    clearInterval(telling);
+    clearInterval(reportTimer);
     daemons.forEach(({ watcher }) => watcher.stop());
   }
 };
 
-// Symptom: sixty daemons ask the store after each change, though a few read for all: 5,000 to 9,000
-// calls in a minute. Sequence: heartbeats raise the store's version, a reader's question is answered
-// without a change, then a row changes. Cause: what was passed on went on from the reader's question,
-// later than what the others have.
-test('followers take changes from readers, whatever else the store counts', async () => {
-  await play(async (store, daemons) => {
+// Guards against followers that ask the store after each change although a few daemons read for
+// all; sixty daemons made 5,000 to 9,000 calls a minute. Heartbeats raise the store's version, and
+// the reader's request returns without a change. When relayed changes started at the version of the
+// reader's last request, they left a gap after the version of the followers.
+test('followers apply changes relayed by readers, whatever else raises the store’s version', async () => {
+  await runWithFollowers(async (store, daemons) => {
     const followers = daemons.filter(
       ({ readerRegistry }) => readerRegistry.ownReports.length === 0,
     );
@@ -146,10 +148,10 @@
   });
 });
 
-// Symptom: a request goes to an upstream that is gone. Sequence: a follower loses the datagram of its
-// removal; the next change comes. Cause: a gap in what was passed on that nobody notices.
+// Guards against an unnoticed gap in relayed changes: a follower that lost the datagram of an
+// upstream's removal would send requests to it after the next change.
 test('a follower that missed a change asks the store for it', async () => {
-  await play(async (store, daemons) => {
+  await runWithFollowers(async (store, daemons) => {
     const follower = daemons.find(({ readerRegistry }) => readerRegistry.ownReports.length === 0);
     assert.ok(follower);
     const { readerRegistry } = follower;
@@ -163,14 +165,14 @@
   });
 });
 
-/** Two daemons that both read the table. */
-const playTwoReaders = async (
+/** Runs two daemons that both read the table, then calls `act`. */
+const runWithTwoReaders = async (
   act: (store: MemoryStore, daemons: readonly Daemon[]) => Promise<void>,
 ): Promise<void> => {
   const store = new MemoryStore();
   store.put('first');
   const daemons = ['vm-0', 'vm-1'].map((vm) => createDaemon(vm, store));
-  const telling = connect(daemons);
+  const reportTimer = connect(daemons);
   daemons.forEach(({ watcher }) => {
     void watcher.run();
   });
@@ -182,18 +184,17 @@
     );
     await act(store, daemons);
   } finally {
-    clearInterval(telling);
+    clearInterval(reportTimer);
     daemons.forEach(({ watcher }) => watcher.stop());
-    store.silent.clear();
+    store.unresponsiveVms.clear();
   }
 };
 
-// Symptom: a cold upstream gets more than it takes, from one daemon. Sequence: the store turns that daemon
-// away; the upstream turns cold, and the others pass that on. Cause: a reader that lost the store waits for
-// its own next answer, and leaves what others tell.
-test('a reader that the store turns away takes what another one passes on', async () => {
-  await playTwoReaders(async (store, daemons) => {
-    store.turnedAway.add('vm-0');
+// Guards against a rejected reader that waits for its own next answer and ignores relayed changes:
+// it would send a cold upstream more requests than the upstream can take.
+test('a reader that the store rejects applies changes relayed by another reader', async () => {
+  await runWithTwoReaders(async (store, daemons) => {
+    store.rejectedVms.add('vm-0');
     await sleep(WAIT_MS * 2);
     for (const key of ['second', 'third']) {
       store.put(key);
@@ -202,16 +203,16 @@
   });
 });
 
-test('a reader whose question hangs did not take what another one passed on', async () => {
-  await playTwoReaders(async (store, daemons) => {
-    store.silent.add('vm-0');
+test('a reader whose store request hangs applies changes relayed by another reader', async () => {
+  await runWithTwoReaders(async (store, daemons) => {
+    store.unresponsiveVms.add('vm-0');
     for (const key of ['second', 'third']) {
       store.put(key);
       await waitUntil(() => daemons.every(({ known }) => known.has(key)));
     }
     store.remove('second');
     await waitUntil(() => daemons.every(({ known }) => !known.has('second')));
-    store.silent.delete('vm-0');
+    store.unresponsiveVms.delete('vm-0');
     store.put('fourth');
     await waitUntil(() => daemons.every(({ known }) => known.has('fourth')));
     assert.ok(daemons.every(({ known }) => !known.has('second')));
@@ -219,9 +220,9 @@
 });
 
 // Guards against a table that looks outdated while its reader's own store request is pending.
-test('a reader whose store request hangs confirms its table by the news of another reader', async () => {
-  await playTwoReaders(async (store, [stalledReader]) => {
-    store.silent.add('vm-0');
+test('a reader whose store request hangs confirms its table by reports of another reader', async () => {
+  await runWithTwoReaders(async (store, [stalledReader]) => {
+    store.unresponsiveVms.add('vm-0');
     await sleep(WAIT_MS * 3);
     const pendingAtMs = performance.now();
     const getConfirmedAtMs = (): number =>
@@ -230,11 +231,11 @@
   });
 });
 
-// Symptom: a daemon refuses keyed requests for good, 18 s in a soak, while the store is well and its
-// news come. Sequence: a follower's time of day steps. Cause: others' news confirm nothing then; it
-// asked nobody.
-test('a follower whose time of day stepped asks the store itself, and is fresh again', async () => {
-  await play(async (store, daemons) => {
+// Guards against a follower that refuses keyed requests permanently (18 s in a soak test) although
+// the store is reachable and reports arrive. After a step of its wall clock, reports of others
+// confirm nothing, so it must ask the store itself.
+test('a follower whose wall clock stepped asks the store and is up to date again', async () => {
+  await runWithFollowers(async (store, daemons) => {
     const followers = daemons.filter(
       ({ readerRegistry }) => readerRegistry.ownReports.length === 0,
     );
--- a/packages/forwarding/src/store/tableWatcher.ts
+++ b/packages/forwarding/src/store/tableWatcher.ts
@@ -1,17 +1,17 @@
 /**
- * Follows one table: takes it whole from another daemon or reads it, then its changes. A few daemons
- * read, the others follow what these tell; where none does, they take the reading over one after
- * another. A feed may go silent without a reset, and its history may be dropped; each call has a
- * time-out of its own, and after any failure the table is read again or the feed is resumed on a new
- * connection.
+ * Follows one table: loads it from another daemon or the store, then applies its changes. A few
+ * daemons read the store and the others follow their reports; if there are no readers, daemons take
+ * over one after another. A feed may go silent without a reset, and the store may drop its history.
+ * Therefore each call has its own time-out, and after a failure the table is read again or the feed
+ * is resumed on a new connection.
  */
 import { getErrorMessage, sleep, type Logger, type Random } from '@snipehaven/common';
 import type { Freshness } from '../configuration/freshness.js';
 import { readClocks, type ClockReading } from '../configuration/storeClock.js';
 import { HistoryGoneError } from '../errors.js';
 import { MAX_MESH_DAEMONS } from '../peers/index.js';
-import { ReaderCover, type CoverOptions } from './readerCover.js';
-import { TableCopy, findNewest } from './tableCopy.js';
+import { ReaderRole, type ReaderRoleOptions } from './readerRole.js';
+import { TableReplica, findNewestVersion } from './tableReplica.js';
 import type {
   RowStore,
   SnapshotSource,
@@ -22,75 +22,82 @@
 } from './types.js';
 
 export interface TableListener {
-  /** `serverTimeMs`: the store's steady clock as it answered. */
-  onAll(rows: readonly StoreRow[], serverTimeMs: number): void;
+  /** `serverTimeMs`: the store's monotonic clock when it answered. */
+  onSnapshot(rows: readonly StoreRow[], serverTimeMs: number): void;
   onChange(change: StoreChange, serverTimeMs: number): void;
-  /** The store answers again after it was lost, before its rows are taken. */
-  onBack?(): void;
+  /** Called when the store can be reached again, before its rows are applied. */
+  onStoreRecovered?(): void;
 }
 
-export interface WatchOptions extends CoverOptions {
-  /** After a change, further ones are left to gather this long: each answer is a call that counts. */
-  readonly gatherMs: number;
+export interface TableWatcherOptions extends ReaderRoleOptions {
+  /** Delay after a change, so that further changes arrive in one answer: each call is billed. */
+  readonly batchDelayMs: number;
   readonly store: RowStore;
   readonly listener: TableListener;
   readonly logger: Logger;
   readonly random: Random;
-  /** Confirmed by each answer, and by readers' news. */
+  /** Confirmed by each answer of the store and by reader reports. */
   readonly freshness: Freshness;
   /** Asked once, before the table is first read. */
   readonly source?: SnapshotSource;
 }
 
 /**
- * What a reader passes on comes with its news or right after; in a large fleet by way of another
- * daemon, which may be busy starting. It is missed for at most a tenth of the time in which changes
- * must be in force there.
+ * How long to wait for relayed changes, which arrive with a reader's report or right after it. In a
+ * large fleet another daemon relays them, which may be busy starting. The waits are at most a tenth
+ * of the time within which changes must be in force.
  */
-const PASS_ON_MS = 120;
-const PASS_ON_LARGE_MS = 400;
+const RELAY_WAIT_MS = 120;
+const LARGE_FLEET_RELAY_WAIT_MS = 400;
 
 /** A follower checks at least this often whether readers still report. */
-const NEWS_WAIT_MS = 400;
+const REPORT_WAIT_MS = 400;
 
-/** A daemon late in the order looks again at least this often. */
-const MAX_TURN_WAIT_MS = 200;
+/** Maximum wait of a daemon whose turn to read has not come yet. */
+const MAX_TAKEOVER_WAIT_MS = 200;
 
-/** Until the store is asked again: a cut that heals should not cost more than this beside the cut. */
+/**
+ * Backoff of store requests. It bounds how much longer an outage lasts for this daemon once the store
+ * is reachable again.
+ */
 const FIRST_BACKOFF_MS = 120;
 const MAX_BACKOFF_MS = 400;
 
 /**
- * Late in the order daemons ask a lost store more seldom, by the square of their rank: the first ask as
- * before and the others hear of its return from them. With each of 195 at the pace of the first, a
- * store that was down got 1,400 questions a second.
+ * Backoff of daemons late in the reader order, which grows with the square of their rank: the first
+ * daemons retry at the usual rate, and the others hear of the store's recovery from them. When each
+ * of 195 daemons retried at the rate of the first, a store that was down received 1,400 requests a
+ * second.
  */
 const MAX_RANKED_BACKOFF_MS = 20_000;
 
 export class TableWatcher {
-  readonly #options: WatchOptions;
+  readonly #options: TableWatcherOptions;
 
-  readonly #copy: TableCopy;
+  readonly #replica: TableReplica;
 
-  readonly #cover: ReaderCover;
+  readonly #readerRole: ReaderRole;
 
   #failures = 0;
 
-  /** No reader is heard that has the store's word, after some were. */
-  #isBlind = false;
+  /** Whether readers were lost after there had been some. */
+  #hasLostReaders = false;
 
-  /** Whether others were asked for the table. */
-  #hasBegun = false;
+  /** Whether the other daemons were asked for the table. */
+  #hasRequestedSnapshot = false;
 
-  /** Others' news were enough, since this daemon last read itself or lost them. */
-  #hasFollowed = false;
+  /**
+   * Whether the reports of others have been sufficient since this daemon last read the store itself
+   * or lost the readers.
+   */
+  #hasFollowedReaders = false;
 
   #isStopped = false;
 
-  constructor(options: WatchOptions) {
+  constructor(options: TableWatcherOptions) {
     this.#options = options;
-    this.#copy = new TableCopy(options.table);
-    this.#cover = new ReaderCover(options);
+    this.#replica = new TableReplica(options.table);
+    this.#readerRole = new ReaderRole(options);
   }
 
   async run(): Promise<void> {
@@ -103,187 +110,192 @@
     this.#isStopped = true;
   }
 
-  /** The table as it is known here; undefined before it was first known. */
+  /** The table as known here; undefined until it is first known. */
   get snapshot(): TableSnapshot | undefined {
-    return this.#copy.snapshot;
+    return this.#replica.snapshot;
   }
 
   async #step(): Promise<void> {
     try {
-      await this.#ask(readClocks());
+      await this.#poll(readClocks());
     } catch (error) {
       await this.#recover(error);
     }
   }
 
-  async #ask(asked: ClockReading): Promise<void> {
-    if (this.#copy.version === undefined) {
-      await this.#begin(asked);
+  async #poll(requested: ClockReading): Promise<void> {
+    if (this.#replica.version === undefined) {
+      await this.#load(requested);
       return;
     }
-    if (this.#cover.checkCovered()) {
-      await this.#follow(asked);
+    if (this.#readerRole.checkEnoughReaders()) {
+      await this.#follow(requested);
       return;
     }
     this.#noteReadersLost();
-    if (!this.#cover.isOwnTurn()) {
-      await this.#awaitTurn(asked);
+    if (!this.#readerRole.isOwnTurn()) {
+      await this.#awaitTurn(requested);
       return;
     }
-    // Taking over, a held question would leave all that follow without a word for as long again.
-    const waitMs = this.#cover.isReading ? this.#options.getWaitMs() : 0;
-    this.#note(asked, await this.#readChanges(waitMs));
+    // When taking over, a held request would leave all followers without a report for its whole
+    // wait.
+    const waitMs = this.#readerRole.isReading ? this.#options.getWaitMs() : 0;
+    this.#confirm(requested, await this.#readChanges(waitMs));
     this.#publish();
   }
 
-  /** The first time others are asked, later the store itself. */
-  async #begin(asked: ClockReading): Promise<void> {
-    if (this.#hasBegun) {
-      this.#note(asked, await this.#readAll());
+  /** Requests the table from other daemons the first time, from the store afterwards. */
+  async #load(requested: ClockReading): Promise<void> {
+    if (this.#hasRequestedSnapshot) {
+      this.#confirm(requested, await this.#readAll());
       return;
     }
-    this.#hasBegun = true;
+    this.#hasRequestedSnapshot = true;
     const { source, table } = this.#options;
     const snapshot = await source?.waitForSnapshot(table);
     if (snapshot !== undefined) {
-      this.#takeSnapshot(snapshot);
+      this.#applySnapshot(snapshot);
     }
   }
 
-  #takeSnapshot(snapshot: TableSnapshot): void {
+  #applySnapshot(snapshot: TableSnapshot): void {
     const { listener, freshness, logger } = this.#options;
     const { rows, version, serverTimeMs, table } = snapshot;
-    this.#copy.replace(snapshot);
-    listener.onAll(rows, serverTimeMs);
+    this.#replica.replace(snapshot);
+    listener.onSnapshot(rows, serverTimeMs);
     const isConfirmed = freshness.confirmByPeer(serverTimeMs);
     logger.info(
       { event: 'tableTaken', table, version, rows: rows.length, serverTimeMs, isConfirmed },
-      'table taken from another daemon',
+      'table received from another daemon',
     );
   }
 
-  /** Follows whoever reads meanwhile. */
-  async #awaitTurn(asked: ClockReading): Promise<void> {
-    if (this.#cover.best === undefined) {
-      // Changes from a new reader can arrive before its news.
-      this.#takePassedOn();
-      await this.#options.readerRegistry.waitForUpdate(MAX_TURN_WAIT_MS);
+  /** Follows the current readers in the meantime. */
+  async #awaitTurn(requested: ClockReading): Promise<void> {
+    if (this.#readerRole.latestReport === undefined) {
+      // Changes from a new reader can arrive before its report.
+      this.#applyRelayedChanges();
+      await this.#options.readerRegistry.waitForUpdate(MAX_TAKEOVER_WAIT_MS);
     } else {
-      await this.#follow(asked, MAX_TURN_WAIT_MS);
+      await this.#follow(requested, MAX_TAKEOVER_WAIT_MS);
     }
   }
 
   /**
-   * Others' word is how a follower knows of the store: without it, its list may be older than it
-   * thinks.
+   * A follower knows the store's state only through readers. Without them its table may be older
+   * than it seems.
    */
   #noteReadersLost(): void {
     const { table, logger } = this.#options;
-    if (this.#hasFollowed && this.#cover.best === undefined) {
-      this.#hasFollowed = false;
-      this.#isBlind = true;
-      logger.warn({ event: 'readersLost', table }, 'no reader has the store’s word');
+    if (this.#hasFollowedReaders && this.#readerRole.latestReport === undefined) {
+      this.#hasFollowedReaders = false;
+      this.#hasLostReaders = true;
+      logger.warn({ event: 'readersLost', table }, 'no reader of the table is reachable');
     }
   }
 
-  /** Takes readers' news: asks the store only for what they did not pass on. */
-  async #follow(asked: ClockReading, waitMs = NEWS_WAIT_MS): Promise<void> {
-    this.#hasFollowed = true;
-    this.#noteBack('readers');
-    this.#takePassedOn();
-    if (this.#useNews()) {
+  /** Follows the readers' reports, and asks the store only for changes that were not relayed. */
+  async #follow(requested: ClockReading, waitMs = REPORT_WAIT_MS): Promise<void> {
+    this.#hasFollowedReaders = true;
+    this.#noteStoreRecovered('readers');
+    this.#applyRelayedChanges();
+    if (this.#confirmByReports()) {
       await this.#options.readerRegistry.waitForUpdate(waitMs);
       return;
     }
-    await this.#awaitPassedOn();
-    if (!this.#useNews()) {
-      this.#note(asked, await this.#readChanges(0));
+    await this.#awaitRelayedChanges();
+    if (!this.#confirmByReports()) {
+      this.#confirm(requested, await this.#readChanges(0));
     }
   }
 
-  /** Waits until what readers know of was passed on, for a while. */
-  async #awaitPassedOn(): Promise<void> {
+  /** Waits a limited time for relayed changes up to the readers' version. */
+  async #awaitRelayedChanges(): Promise<void> {
     const { readerRegistry, table } = this.#options;
     const isSmallFleet = this.#options.countDaemons() <= MAX_MESH_DAEMONS;
     const startedAtMs = performance.now();
     const getLeftMs = (): number => {
       // Changes missing before later ones were probably lost; the store is asked for them sooner.
-      const hasGap = readerRegistry.hasGap(table, this.#copy.version ?? 0);
-      const waitMs = isSmallFleet || hasGap ? PASS_ON_MS : PASS_ON_LARGE_MS;
+      const hasGap = readerRegistry.hasGap(table, this.#replica.version ?? 0);
+      const waitMs = isSmallFleet || hasGap ? RELAY_WAIT_MS : LARGE_FLEET_RELAY_WAIT_MS;
       return startedAtMs + waitMs - performance.now();
     };
-    while (getLeftMs() > 0 && !this.#useNews()) {
+    while (getLeftMs() > 0 && !this.#confirmByReports()) {
       await readerRegistry.waitForUpdate(getLeftMs());
-      this.#takePassedOn();
+      this.#applyRelayedChanges();
     }
   }
 
-  #takePassedOn(): void {
+  #applyRelayedChanges(): void {
     const { readerRegistry, table, listener } = this.#options;
     for (;;) {
-      const version = this.#copy.version ?? 0;
+      const version = this.#replica.version ?? 0;
       const changes = readerRegistry.findChanges(table, version);
       if (changes === undefined) {
         return;
       }
-      const news = this.#copy.take(changes.items, changes.upTo);
-      news.forEach((item) => listener.onChange(item, changes.serverTimeMs));
+      const newChanges = this.#replica.apply(changes.items, changes.upTo);
+      newChanges.forEach((item) => listener.onChange(item, changes.serverTimeMs));
     }
   }
 
-  /** False when readers know of a change that is not taken here, or their news confirm nothing here. */
-  #useNews(): boolean {
-    const { best } = this.#cover;
-    if (best === undefined) {
+  /**
+   * Returns false if readers know of a change that is not applied here, or if their reports cannot
+   * confirm this daemon's state.
+   */
+  #confirmByReports(): boolean {
+    const { latestReport } = this.#readerRole;
+    if (latestReport === undefined) {
       return true;
     }
-    if (best.lastChange > (this.#copy.version ?? 0)) {
+    if (latestReport.lastChange > (this.#replica.version ?? 0)) {
       return false;
     }
-    this.#copy.confirm(best.serverTimeMs);
-    return this.#options.freshness.confirmByPeer(best.serverTimeMs);
+    this.#replica.confirm(latestReport.serverTimeMs);
+    return this.#options.freshness.confirmByPeer(latestReport.serverTimeMs);
   }
 
-  #note(asked: ClockReading, serverTimeMs: number): void {
-    this.#options.freshness.confirm({ asked, serverTimeMs });
+  #confirm(requested: ClockReading, serverTimeMs: number): void {
+    this.#options.freshness.confirm({ asked: requested, serverTimeMs });
   }
 
   #publish(): void {
     const { readerRegistry, table } = this.#options;
-    const { lastChange, serverTimeMs } = this.#copy;
+    const { lastChange, serverTimeMs } = this.#replica;
     readerRegistry.publishReport({ table, lastChange, serverTimeMs });
   }
 
-  /** Resolves with the store's clock as it answered. */
+  /** Resolves with the store's clock at its answer. */
   async #readAll(): Promise<number> {
     const { store, table, listener } = this.#options;
     const page = await store.readRows(table);
     this.#noteAnswer();
     const { items: rows, version, serverTimeMs } = page;
-    this.#copy.replace({ rows, version, serverTimeMs, lastChange: this.#findLastChange(page) });
-    listener.onAll(rows, serverTimeMs);
+    this.#replica.replace({ rows, version, serverTimeMs, lastChange: this.#findLastChange(page) });
+    listener.onSnapshot(rows, serverTimeMs);
     return serverTimeMs;
   }
 
   /**
-   * What a whole table does not tell: when its last row was removed. Readers that were there before
-   * know; with none of them, any moment until now. Said too late, all followers ask the store once for
-   * nothing.
+   * A complete table does not show when its last row was removed. Existing readers know; without
+   * any, it may have been at any moment until now. If the returned version is too new, all
+   * followers ask the store once in vain.
    */
   #findLastChange({ items, version }: StorePage<StoreRow>): number {
-    const { best } = this.#cover;
-    return best === undefined ? version : findNewest(best.lastChange, items);
+    const { latestReport } = this.#readerRole;
+    return latestReport === undefined ? version : findNewestVersion(latestReport.lastChange, items);
   }
 
   async #readChanges(waitMs: number): Promise<number> {
-    const { table, gatherMs, listener, readerRegistry } = this.#options;
-    // From the change before on, not from the question: a follower's version stands at that change.
-    const after = this.#copy.knownFrom;
-    const { items, version: upTo, serverTimeMs } = await this.#askForChanges(waitMs);
+    const { table, batchDelayMs: gatherMs, listener, readerRegistry } = this.#options;
+    // Starts at the last change instead of the version of the request, because a follower's version
+    // may be that of the last change.
+    const after = this.#replica.changesKnownFrom;
+    const { items, version: upTo, serverTimeMs } = await this.#requestChanges(waitMs);
     this.#noteAnswer();
-    const news = this.#copy.take(items, upTo);
-    this.#copy.confirm(serverTimeMs);
-    news.forEach((change) => listener.onChange(change, serverTimeMs));
+    const newChanges = this.#replica.apply(items, upTo);
+    this.#replica.confirm(serverTimeMs);
+    newChanges.forEach((change) => listener.onChange(change, serverTimeMs));
     if (items.length > 0) {
       this.#publish();
       readerRegistry.publishChanges({ table, after, upTo, serverTimeMs, items });
@@ -293,36 +305,36 @@
   }
 
   /** Applies other readers' changes and confirmations while the store request is pending. */
-  async #askForChanges(waitMs: number): Promise<StorePage<StoreChange>> {
+  async #requestChanges(waitMs: number): Promise<StorePage<StoreChange>> {
     const { store, table, readerRegistry } = this.#options;
     const stopListening = readerRegistry.onUpdate(table, () => {
-      this.#takePassedOn();
-      this.#useNews();
+      this.#applyRelayedChanges();
+      this.#confirmByReports();
     });
     try {
-      return await store.readChanges(table, this.#copy.version ?? 0, waitMs);
+      return await store.readChanges(table, this.#replica.version ?? 0, waitMs);
     } finally {
       stopListening();
     }
   }
 
   #noteAnswer(): void {
-    this.#cover.noteAnswer();
-    this.#hasFollowed = false;
-    this.#noteBack('store');
+    this.#readerRole.noteStoreAnswer();
+    this.#hasFollowedReaders = false;
+    this.#noteStoreRecovered('store');
   }
 
-  /** The store's word comes again, by itself or by readers. */
-  #noteBack(source: 'store' | 'readers'): void {
-    if (this.#failures > 0 || this.#isBlind) {
+  /** The store's state is known again, through its own answer or through readers. */
+  #noteStoreRecovered(source: 'store' | 'readers'): void {
+    if (this.#failures > 0 || this.#hasLostReaders) {
       const { logger, table, listener } = this.#options;
       logger.info(
         { event: 'storeRegained', table, source, failures: this.#failures },
-        'store answers again',
+        'store reachable again',
       );
       this.#failures = 0;
-      this.#isBlind = false;
-      listener.onBack?.();
+      this.#hasLostReaders = false;
+      listener.onStoreRecovered?.();
     }
   }
 
@@ -330,37 +342,47 @@
     const { logger, table, readerRegistry } = this.#options;
     readerRegistry.withdraw(table);
     if (error instanceof HistoryGoneError) {
-      logger.info({ event: 'historyGone', table }, 'feed history gone; reading the table again');
-      this.#copy.forget();
+      logger.info(
+        { event: 'historyGone', table },
+        'feed history dropped by the store; reading the table again',
+      );
+      this.#replica.invalidate();
       this.#failures += 1;
       return;
     }
     if (this.#failures === 0) {
-      logger.warn({ event: 'storeLost', table, cause: getErrorMessage(error) }, 'store lost');
+      logger.warn(
+        { event: 'storeLost', table, cause: getErrorMessage(error) },
+        'store request failed; backing off',
+      );
     }
     this.#failures += 1;
-    this.#cover.noteLost();
+    this.#readerRole.noteStoreLost();
     await this.#backOff();
-    if (this.#copy.version !== undefined) {
-      this.#takePassedOn();
-      this.#useNews();
+    if (this.#replica.version !== undefined) {
+      this.#applyRelayedChanges();
+      this.#confirmByReports();
     }
   }
 
-  /** Waits before the store is asked again, or until others have its word. */
+  /** Waits before the next store request, or until other daemons read the table. */
   async #backOff(): Promise<void> {
     const { random, readerRegistry } = this.#options;
-    const ownMs = Math.min(MAX_BACKOFF_MS, FIRST_BACKOFF_MS * 2 ** Math.min(6, this.#failures - 1));
-    const rank = this.#copy.version === undefined ? 0 : (this.#options.getReaderRank() ?? 0);
-    const rankedMs = Math.min(MAX_RANKED_BACKOFF_MS, ownMs * (1 + rank) ** 2);
+    const baseMs = Math.min(
+      MAX_BACKOFF_MS,
+      FIRST_BACKOFF_MS * 2 ** Math.min(6, this.#failures - 1),
+    );
+    const rank = this.#replica.version === undefined ? 0 : (this.#options.getReaderRank() ?? 0);
+    const rankedMs = Math.min(MAX_RANKED_BACKOFF_MS, baseMs * (1 + rank) ** 2);
     const waitMs = rankedMs * (0.5 + random.next());
     if (rank === 0) {
       await sleep(waitMs);
       return;
     }
     const endAtMs = performance.now() + waitMs;
-    const isOver = (): boolean => performance.now() >= endAtMs || this.#cover.canLean;
-    while (!isOver()) {
+    const hasEnded = (): boolean =>
+      performance.now() >= endAtMs || this.#readerRole.canRelyOnReaders;
+    while (!hasEnded()) {
       await readerRegistry.waitForUpdate(endAtMs - performance.now());
     }
   }
--- a/packages/forwarding/src/store/testSupport/memoryStore.ts
+++ b/packages/forwarding/src/store/testSupport/memoryStore.ts
@@ -1,10 +1,10 @@
-/** A store in memory: tables of rows, feeds that wait, outages, and who asked how often. */
+/** In-memory store with tables, feeds that wait, outages, and call counts per daemon. */
 import { sleep } from '@snipehaven/common';
 import { StoreUnavailableError } from '../../errors.js';
 import type { RowStore, StoreChange, StorePage, StoreRow, WriteResult } from '../types.js';
 
 const POLL_MS = 5;
-const ANSWER_MS = 4;
+const LATENCY_MS = 4;
 const DEFAULT_TABLE = 'upstreams';
 
 export class MemoryStore {
@@ -14,14 +14,14 @@
 
   readonly #history: (StoreChange & { readonly table: string })[] = [];
 
-  /** By VM. */
+  /** Keyed by VM. */
   readonly calls = new Map<string, number>();
 
-  /** VMs that are turned away. */
-  readonly turnedAway = new Set<string>();
+  /** VMs whose calls are rejected. */
+  readonly rejectedVms = new Set<string>();
 
-  /** VMs whose questions are never answered. */
-  readonly silent = new Set<string>();
+  /** VMs whose feed requests are never answered. */
+  readonly unresponsiveVms = new Set<string>();
 
   isDown = false;
 
@@ -38,7 +38,7 @@
     this.#history.push({ key, version: this.#version, table });
   }
 
-  /** As a heartbeat or another table's row does. */
+  /** Raises the version as a heartbeat or a change in another table does. */
   raiseVersion(): void {
     this.#version += 1;
   }
@@ -54,7 +54,7 @@
   createClient(vm: string): RowStore {
     const call = async (): Promise<void> => {
       this.calls.set(vm, this.getCalls(vm) + 1);
-      await sleep(ANSWER_MS);
+      await sleep(LATENCY_MS);
       this.#check(vm);
     };
     return {
@@ -66,7 +66,10 @@
         await call();
         const endAtMs = performance.now() + waitMs;
         let items = this.#listChanges(table, after);
-        while (this.silent.has(vm) || (items.length === 0 && performance.now() < endAtMs)) {
+        while (
+          this.unresponsiveVms.has(vm) ||
+          (items.length === 0 && performance.now() < endAtMs)
+        ) {
           await sleep(POLL_MS);
           this.#check(vm);
           items = this.#listChanges(table, after);
@@ -80,8 +83,8 @@
   }
 
   #check(vm: string): void {
-    if (this.isDown || this.turnedAway.has(vm)) {
-      throw new StoreUnavailableError('turned away');
+    if (this.isDown || this.rejectedVms.has(vm)) {
+      throw new StoreUnavailableError('VM rejected by the store');
     }
   }
 
--- a/packages/forwarding/src/store/types.ts
+++ b/packages/forwarding/src/store/types.ts
@@ -1,15 +1,15 @@
-/** The rows that the platform's store keeps, as the forwarder reads them. */
+/** Rows of the platform's store, as the forwarder reads them. */
 
 export interface StoreRow {
   readonly key: string;
-  /** Decoded from the store's encoding: a JSON text, or what was written. */
+  /** Decoded from the store's encoding: the text that was written, usually JSON. */
   readonly value: string;
   readonly version: number;
 }
 
 export interface StoreChange {
   readonly key: string;
-  /** Absent when the row was removed. */
+  /** Absent if the row was removed. */
   readonly value?: string;
   readonly version: number;
 }
@@ -18,7 +18,7 @@
   readonly items: readonly Item[];
   /** The newest version of the store that the page reflects. */
   readonly version: number;
-  /** The store's steady clock as it answered. */
+  /** The store's monotonic clock when it answered. */
   readonly serverTimeMs: number;
 }
 
@@ -26,7 +26,10 @@
   readonly table: string;
   readonly key: string;
   readonly value: string;
-  /** The version that the row must have; 0 for a row that must not exist; absent for any. */
+  /**
+   * The version that the row must have; 0 if the row must not exist; absent for an unconditional
+   * write.
+   */
   readonly expectedVersion?: number;
 }
 
@@ -35,33 +38,33 @@
 }
 
 /**
- * Calls throw `HistoryGoneError` where a feed's history is gone, else `StoreUnavailableError`; after
- * the latter a write may still happen.
+ * Calls throw `HistoryGoneError` if the store no longer has a feed's history, otherwise
+ * `StoreUnavailableError`; after the latter, a write may still take effect.
  */
 export interface RowStore {
   readRows(table: string): Promise<StorePage<StoreRow>>;
-  /** Waits until something after the version changed, or the wait is over. */
+  /** Resolves when there are changes after the version, or after the wait. */
   readChanges(table: string, after: number, waitMs: number): Promise<StorePage<StoreChange>>;
   write(write: ConditionalWrite): Promise<WriteResult>;
-  /** Removes the row, if there is one. */
+  /** Does nothing if there is no such row. */
   remove(table: string, key: string): Promise<void>;
   close(): void;
 }
 
-/** A whole table as of one version of the store, as one daemon gives it to another that starts. */
+/** A complete table at one version of the store, as sent to a starting daemon by another one. */
 export interface TableSnapshot {
   readonly table: string;
-  /** The store's version up to which changes are in the rows. */
+  /** The rows include all changes up to this version of the store. */
   readonly version: number;
-  /** The store's version of the last change of this table. */
+  /** The store version of the last change of this table. */
   readonly lastChange: number;
-  /** The store's steady clock when it last said so. */
+  /** The store's monotonic clock when it last confirmed this state. */
   readonly serverTimeMs: number;
   readonly rows: readonly StoreRow[];
 }
 
-/** Daemons that may know a table already. */
+/** Source of tables that other daemons already know. */
 export interface SnapshotSource {
-  /** Undefined when none told it in time. */
+  /** Undefined if no daemon sent the table in time. */
   waitForSnapshot(table: string): Promise<TableSnapshot | undefined>;
 }
