--- a/packages/forwarding/src/daemon/createWatchers.ts
+++ b/packages/forwarding/src/daemon/createWatchers.ts
@@ -3,7 +3,7 @@
 import type { ConfigurationHolder } from '../configuration/configurationHolder.js';
 import { Freshness } from '../configuration/freshness.js';
 import type { StoreClock } from '../configuration/storeClock.js';
-import type { NewsBoard, PeerExchange } from '../peers/index.js';
+import type { ReaderRegistry, PeerExchange } from '../peers/index.js';
 import type { RolloutGuide } from '../rollouts/index.js';
 import { TableWatcher, type RowStore } from '../store/index.js';
 import type { UpstreamDirectory } from '../upstreams/index.js';
@@ -31,7 +31,7 @@
   readonly adapter: PlatformAdapter;
   readonly logger: Logger;
   readonly random: Random;
-  readonly board: NewsBoard;
+  readonly readerRegistry: ReaderRegistry;
   readonly exchange: PeerExchange;
   readonly configuration: ConfigurationHolder;
   readonly directory: UpstreamDirectory;
@@ -51,7 +51,7 @@
   store: parts.createStore(table),
   logger: parts.logger,
   random: parts.random,
-  board: parts.board,
+  readerRegistry: parts.readerRegistry,
   countDaemons: () => parts.exchange.daemons,
   getReaderRank: (lostReaders?: ReadonlySet<string>) => parts.exchange.getReaderRank(lostReaders),
   source: parts.exchange,
@@ -60,7 +60,7 @@
 const watchOperator = (parts: WatchedParts): TableWatcher =>
   new TableWatcher({
     getWaitMs: () => OPERATOR_WAIT_MS,
-    gatherMs: OPERATOR_GATHER_MS,
+    batchDelayMs: OPERATOR_GATHER_MS,
     listener: new OperatorListener(parts),
     freshness: parts.configuration.freshness,
     ...getCommonOptions(parts, parts.adapter.tables.operator),
@@ -69,7 +69,7 @@
 const watchUpstreams = (parts: WatchedParts): TableWatcher =>
   new TableWatcher({
     getWaitMs: () => UPSTREAM_WAIT_MS,
-    gatherMs: UPSTREAM_GATHER_MS,
+    batchDelayMs: UPSTREAM_GATHER_MS,
     listener: new UpstreamListener(parts.adapter, parts.directory, parts.logger),
     freshness: new Freshness(parts.storeClock),
     ...getCommonOptions(parts, parts.adapter.tables.upstreams),
@@ -78,7 +78,7 @@
 const watchStatus = (parts: WatchedParts): TableWatcher =>
   new TableWatcher({
     getWaitMs: () => (parts.rollouts.isAnyRunning ? ROLLOUT_WAIT_MS : STATUS_WAIT_MS),
-    gatherMs: STATUS_GATHER_MS,
+    batchDelayMs: STATUS_GATHER_MS,
     listener: parts.statusListener,
     freshness: parts.statusFreshness,
     ...getCommonOptions(parts, parts.adapter.tables.status),
--- /dev/null
+++ b/packages/forwarding/src/store/readerRole.ts
@@ -0,0 +1,134 @@
+/** Decides whether this daemon reads a table itself or relies on other readers. */
+import type { LatestReport, ReaderRegistry, ReportQuery } from '../peers/index.js';
+
+export interface ReaderRoleOptions {
+  readonly table: string;
+  /** Reports of the other daemons on the table. */
+  readonly readerRegistry: ReaderRegistry;
+  /** How long the store may hold a request; read anew for each. */
+  readonly getWaitMs: () => number;
+  countDaemons(): number;
+  /**
+   * Number of known daemons that precede this one in the reader order, excluding lost readers;
+   * undefined if this daemon must not read.
+   */
+  getReaderRank(lostReaders?: ReadonlySet<string>): number | undefined;
+}
+
+/**
+ * Added to a reader's wait: allows for the time-out of its request and for datagrams between data
+ * centres.
+ */
+const REPORT_AGE_MARGIN_MS = 900;
+
+/**
+ * While there are too few readers, each daemon waits this long for each daemon that precedes it: a
+ * new reader is known in the region after two ticks in each of two data centres. If all took over
+ * at once, 195 daemons would ask the store.
+ */
+const TAKEOVER_INTERVAL_MS = 400;
+
+/** A reader that lost the store asks it again after this time while others read. */
+const STORE_LOSS_BACKOFF_MS = 2_000;
+
+export class ReaderRole {
+  readonly #options: ReaderRoleOptions;
+
+  /** Until this time, a daemon that lost the store relies on other readers if there are any. */
+  #backsOffUntilMs = 0;
+
+  /** Since when there have been too few other readers; undefined while there are enough. */
+  #tooFewReadersSinceMs: number | undefined;
+
+  /**
+   * The longest wait that pending requests of readers may still have, and the time when the last of
+   * them ends.
+   */
+  #maxWaitMs = 0;
+
+  #maxWaitEndsAtMs = 0;
+
+  constructor(options: ReaderRoleOptions) {
+    this.#options = options;
+  }
+
+  /** The newest values over all readers; undefined if no reader has reached the store recently. */
+  get latestReport(): LatestReport | undefined {
+    const { readerRegistry, table } = this.#options;
+    return readerRegistry.getLatestReport(table, this.#getReportQuery());
+  }
+
+  /**
+   * Whether there are other readers, even if too few, so that a daemon that lost the store need not
+   * ask it.
+   */
+  get canRelyOnReaders(): boolean {
+    const { readerRegistry, table } = this.#options;
+    return readerRegistry.canRelyOnReaders(
+      table,
+      this.#options.countDaemons(),
+      this.#getReportQuery(),
+    );
+  }
+
+  /** Whether this daemon currently reports on the table as a reader. */
+  get isReading(): boolean {
+    const { readerRegistry, table } = this.#options;
+    return readerRegistry.ownReports.some((news) => news.table === table);
+  }
+
+  /** The store rejected this daemon or did not answer. */
+  noteStoreLost(): void {
+    this.#backsOffUntilMs = performance.now() + STORE_LOSS_BACKOFF_MS;
+  }
+
+  noteStoreAnswer(): void {
+    this.#backsOffUntilMs = 0;
+  }
+
+  /** Whether enough other daemons read the table; if so, this daemon withdraws its own report. */
+  checkEnoughReaders(): boolean {
+    const { readerRegistry, table } = this.#options;
+    const isCovered =
+      performance.now() < this.#backsOffUntilMs
+        ? this.canRelyOnReaders
+        : readerRegistry.hasEnoughReaders(
+            table,
+            this.#options.countDaemons(),
+            this.#getReportQuery(),
+          );
+    if (isCovered) {
+      readerRegistry.withdraw(table);
+      this.#tooFewReadersSinceMs = undefined;
+    }
+    return isCovered;
+  }
+
+  /** Whether the daemons that precede this one have had time to take over reading. */
+  isOwnTurn(): boolean {
+    const nowMs = performance.now();
+    const { readerRegistry, table, getReaderRank } = this.#options;
+    const rank = getReaderRank(readerRegistry.listLostReaders(table, nowMs));
+    if (rank === undefined) {
+      this.#tooFewReadersSinceMs = nowMs;
+      return false;
+    }
+    this.#tooFewReadersSinceMs ??= nowMs;
+    return nowMs - this.#tooFewReadersSinceMs >= TAKEOVER_INTERVAL_MS * rank;
+  }
+
+  /**
+   * A reader whose feed has gone silent reports nothing new, and gives up its request a little
+   * after the wait. If the wait has just become shorter, readers may still have requests with the
+   * longer one.
+   */
+  #getReportQuery(): ReportQuery {
+    const nowMs = performance.now();
+    const waitMs = this.#options.getWaitMs();
+    if (waitMs >= this.#maxWaitMs || nowMs > this.#maxWaitEndsAtMs) {
+      this.#maxWaitMs = waitMs;
+      this.#maxWaitEndsAtMs = nowMs + waitMs;
+    }
+    return { nowMs, maxAgeMs: this.#maxWaitMs + REPORT_AGE_MARGIN_MS };
+  }
+}
