--- a/packages/forwarding/src/edge/forwardMetrics.ts
+++ b/packages/forwarding/src/edge/forwardMetrics.ts
@@ -4,9 +4,9 @@
 import type { RolloutStage } from '../rollouts/types.js';
 import type { RouteKind } from '../types.js';
 
-const HIGHEST_MS = 120_000;
+const MAX_LATENCY_MS = 120_000;
 
-const createHistogram = (): Histogram => createLatencyHistogram(HIGHEST_MS);
+const createHistogram = (): Histogram => createLatencyHistogram(MAX_LATENCY_MS);
 
 export class ForwardMetrics {
   readonly #registry = new Registry();
@@ -78,7 +78,9 @@
   countRequest(kind: RouteKind, outcome: string, tookMs: number): void {
     this.#requests.inc({ kind, outcome });
     if (outcome === 'answered') {
-      this.#getHistogram(kind).recordValue(Math.min(HIGHEST_MS, Math.max(1, Math.round(tookMs))));
+      this.#getHistogram(kind).recordValue(
+        Math.min(MAX_LATENCY_MS, Math.max(1, Math.round(tookMs))),
+      );
     }
   }
 
--- a/packages/forwarding/src/edge/frontServer.ts
+++ b/packages/forwarding/src/edge/frontServer.ts
@@ -14,16 +14,16 @@
 } from '../runs/index.js';
 import type { RequestOptions, SocketAddress } from '../types.js';
 import { HttpCallerPort } from './httpCallerPort.js';
-import { listenOn, takeOver } from './listenOn.js';
+import { listenOn, adoptListener } from './listenOn.js';
 import { readCallerBody } from './readCallerBody.js';
-import { StartQueue } from './startQueue.js';
+import { StartupQueue } from './startupQueue.js';
 import type { CallerListener } from './types.js';
 
 /** Above any limit that a configuration may set; the configured one is checked for each request. */
-const HIGHEST_HEADER_BYTES = 262_144;
+const MAX_PARSED_HEADER_BYTES = 262_144;
 
 /** How often the runtime looks for callers that send their headers too slowly. */
-const SLOW_HEADER_CHECK_MS = 500;
+const HEADER_TIMEOUT_CHECK_MS = 500;
 
 /** An idle connection is kept longer than callers may reuse it, so that no request meets our close. */
 const IDLE_MARGIN_MS = 1_000;
@@ -37,16 +37,16 @@
 const getHeaderBytes = (rawHeaders: readonly string[]): number =>
   rawHeaders.reduce((sum, text) => sum + text.length + 2, 0);
 
-const hasLeft = (socket: Socket): boolean => socket.destroyed || socket.readableEnded;
+const isDisconnected = (socket: Socket): boolean => socket.destroyed || socket.readableEnded;
 
 export class FrontServer {
   readonly #dependencies: ForwardDependencies;
 
   readonly #server: Server;
 
-  readonly #startQueue: StartQueue;
+  readonly #startupQueue: StartupQueue;
 
-  #isLeaving = false;
+  #isDraining = false;
 
   #isClosed = false;
 
@@ -54,17 +54,17 @@
 
   constructor(dependencies: ForwardDependencies) {
     this.#dependencies = dependencies;
-    this.#startQueue = new StartQueue(() => this.isInformed);
+    this.#startupQueue = new StartupQueue(() => this.isInformed);
     this.#server = createServer(
       {
-        maxHeaderSize: HIGHEST_HEADER_BYTES,
-        connectionsCheckingInterval: SLOW_HEADER_CHECK_MS,
+        maxHeaderSize: MAX_PARSED_HEADER_BYTES,
+        connectionsCheckingInterval: HEADER_TIMEOUT_CHECK_MS,
         requestTimeout: 0,
         noDelay: true,
       },
       (request, response) => {
         const arrivedAtMs = performance.now();
-        this.#startQueue.enter(() => this.#handle(request, response, arrivedAtMs));
+        this.#startupQueue.enqueue(() => this.#handle(request, response, arrivedAtMs));
       },
     );
     this.#server.on('clientError', (error, socket) =>
@@ -76,7 +76,7 @@
   /** Whether routes, upstreams and the state of roll-outs are known, so that requests can be sent. */
   get isInformed(): boolean {
     const { configuration, directory, rollouts } = this.#dependencies;
-    return configuration.table !== undefined && directory.isListed && rollouts.isKnown;
+    return configuration.table !== undefined && directory.isListed && rollouts.isStateKnown;
   }
 
   get inFlight(): number {
@@ -85,13 +85,15 @@
 
   /** `listener` is used where it listens at the address. */
   listen(address: SocketAddress, listener?: CallerListener): Promise<void> {
-    const isThere = listener?.host === address.host && listener.port === address.port;
-    return isThere ? takeOver(this.#server, listener) : listenOn(this.#server, address);
+    const isAlreadyListening = listener?.host === address.host && listener.port === address.port;
+    return isAlreadyListening
+      ? adoptListener(this.#server, listener)
+      : listenOn(this.#server, address);
   }
 
   /** From now on each answer says that its connection closes. */
   leave(): void {
-    this.#isLeaving = true;
+    this.#isDraining = true;
   }
 
   /**
@@ -125,7 +127,7 @@
   }
 
   #handle(request: IncomingMessage, response: ServerResponse, arrivedAtMs: number): void {
-    const port = new HttpCallerPort(request, response, () => this.#isLeaving);
+    const port = new HttpCallerPort(request, response, () => this.#isDraining);
     const { configuration, dialect } = this.#dependencies;
     const { table } = configuration;
     const options = dialect.readRequest(request.headers);
@@ -137,7 +139,7 @@
       this.#refuse(port, options, { reason: 'leaving', retryAfterS: LEAVING_RETRY_AFTER_S });
       return;
     }
-    const reason = this.#findObstacle(request, table, options);
+    const reason = this.#findRefusalReason(request, table, options);
     if (reason !== undefined) {
       const isTransient = reason === 'staleConfiguration';
       this.#refuse(port, options, {
@@ -155,7 +157,7 @@
     });
   }
 
-  #findObstacle(
+  #findRefusalReason(
     request: IncomingMessage,
     table: RouteTable,
     options: RequestOptions,
@@ -215,7 +217,7 @@
       port,
     );
     this.#inFlight += 1;
-    response.once('finish', () => this.#closeIfLeaving(request.socket));
+    response.once('finish', () => this.#closeIfDraining(request.socket));
     response.once('close', () => {
       this.#inFlight -= 1;
       if (!response.writableFinished) {
@@ -229,7 +231,7 @@
       if (socket.writableEnded) {
         // The server ended the connection after the previous response, so no response can be written.
         socket.destroy();
-      } else if (hasLeft(socket)) {
+      } else if (isDisconnected(socket)) {
         run.cancel();
       } else {
         run.start();
@@ -238,8 +240,8 @@
   }
 
   /** An answer that began before we left did not say that its connection closes. */
-  #closeIfLeaving(socket: Socket): void {
-    if (this.#isLeaving) {
+  #closeIfDraining(socket: Socket): void {
+    if (this.#isDraining) {
       socket.end();
     }
   }
--- a/packages/forwarding/src/edge/httpCallerPort.ts
+++ b/packages/forwarding/src/edge/httpCallerPort.ts
@@ -1,6 +1,6 @@
 /** A caller's side over Node's HTTP server. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
-import type { AnswerFraming } from '../exchange/index.js';
+import type { ResponseFraming } from '../exchange/index.js';
 import { refusalForms, type CallerPort, type Refusal } from '../runs/index.js';
 
 /** How a refused caller is told when to come back; the name is the protocol's standard one. */
@@ -24,7 +24,7 @@
   begin(
     status: number,
     headers: Readonly<Record<string, string | string[]>>,
-    framing: AnswerFraming,
+    framing: ResponseFraming,
   ): void {
     this.#announceClose();
     if (framing === 'untilClose') {
@@ -44,7 +44,7 @@
   }
 
   /** An answer that ends with its connection would look whole after a plain close. */
-  breakOff(): void {
+  abort(): void {
     if (this.#endsWithConnection) {
       this.#request.socket.resetAndDestroy();
     } else {
--- a/packages/forwarding/src/edge/listenOn.ts
+++ b/packages/forwarding/src/edge/listenOn.ts
@@ -4,13 +4,13 @@
 import type { CallerListener } from './types.js';
 
 /** Connections that wait to be taken while the process is busy; beyond, callers' opening packets are lost. */
-const BACKLOG = 1_024;
+const LISTEN_BACKLOG = 1_024;
 
 /** From now on the server takes what comes to the listener, and what has come. */
-export const takeOver = (server: Server, listener: CallerListener): Promise<void> =>
+export const adoptListener = (server: Server, listener: CallerListener): Promise<void> =>
   new Promise((resolve, reject) => {
     server.once('error', reject);
-    server.listen(listener.server, BACKLOG, resolve);
+    server.listen(listener.server, LISTEN_BACKLOG, resolve);
     listener.sockets.splice(0).forEach((socket) => {
       server.emit('connection', socket);
       socket.resume();
@@ -21,5 +21,5 @@
 export const listenOn = (server: Server, { host, port }: SocketAddress): Promise<void> =>
   new Promise((resolve, reject) => {
     server.once('error', reject);
-    server.listen({ host, port, backlog: BACKLOG }, resolve);
+    server.listen({ host, port, backlog: LISTEN_BACKLOG }, resolve);
   });
--- a/packages/forwarding/src/edge/startQueue.test.ts
+++ b/packages/forwarding/src/edge/startupQueue.test.ts
@@ -2,7 +2,7 @@
 import FakeTimers, { type Clock } from '@sinonjs/fake-timers';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { StartQueue } from './startQueue.js';
+import { StartupQueue } from './startupQueue.js';
 
 interface Context {
   clock: Clock;
@@ -17,38 +17,38 @@
 test.after.each(({ clock }) => clock.uninstall());
 
 /** A queue of a daemon that knows where to send after so long, and when each request went on. */
-const play = (
+const runQueue = (
   clock: Clock,
   knownAtMs: number,
   arrivesAtMs: readonly number[],
 ): readonly number[] => {
   const startedAtMs = performance.now();
   const getPassedMs = (): number => performance.now() - startedAtMs;
-  const queue = new StartQueue(() => getPassedMs() >= knownAtMs);
-  const wentAtMs: number[] = [];
+  const queue = new StartupQueue(() => getPassedMs() >= knownAtMs);
+  const releasedAtMs: number[] = [];
   arrivesAtMs.forEach((atMs) => {
-    setTimeout(() => queue.enter(() => wentAtMs.push(getPassedMs())), atMs);
+    setTimeout(() => queue.enqueue(() => releasedAtMs.push(getPassedMs())), atMs);
   });
   clock.tick(5_000);
-  return wentAtMs;
+  return releasedAtMs;
 };
 
 test('requests wait until the daemon knows where to send them', ({ clock }) => {
-  assert.equal(play(clock, 300, [10, 200, 290, 400]), [310, 310, 310, 400]);
+  assert.equal(runQueue(clock, 300, [10, 200, 290, 400]), [310, 310, 310, 400]);
 });
 
 test('none waits longer than half a second', ({ clock }) => {
-  assert.equal(play(clock, 4_000, [100]), [600]);
+  assert.equal(runQueue(clock, 4_000, [100]), [600]);
 });
 
 // Symptom: callers of a daemon that is cut off wait for nothing. Sequence: it never gets its tables. Cause: a
 // request that can't be served is let wait.
 test('a daemon that knows nothing long after its start lets nobody wait', ({ clock }) => {
-  assert.equal(play(clock, Infinity, [1_600, 3_000]), [1_600, 3_000]);
+  assert.equal(runQueue(clock, Infinity, [1_600, 3_000]), [1_600, 3_000]);
 });
 
 test('a flood does not fill the memory', ({ clock }) => {
-  const went = play(
+  const went = runQueue(
     clock,
     300,
     Array.from({ length: 600 }, () => 50),
--- a/packages/forwarding/src/edge/startQueue.ts
+++ b/packages/forwarding/src/edge/startupQueue.ts
@@ -6,55 +6,55 @@
  */
 
 /** How often is looked whether the daemon knows. */
-const LOOK_MS = 20;
+const POLL_MS = 20;
 
 /** After its start a daemon that still knows nothing refuses at once: it is not starting, it is cut off. */
-const STARTING_MS = 1_500;
+const STARTUP_PHASE_MS = 1_500;
 
 /** No request waits longer than this. */
 const MAX_WAIT_MS = 500;
 
-const MAX_WAITING = 500;
+const MAX_QUEUED = 500;
 
-interface Waiting {
+interface QueuedRequest {
   readonly untilMs: number;
-  readonly go: () => void;
+  readonly resume: () => void;
 }
 
-export class StartQueue {
-  readonly #isKnown: () => boolean;
+export class StartupQueue {
+  readonly #isReady: () => boolean;
 
   readonly #startedAtMs = performance.now();
 
-  #waiting: Waiting[] = [];
+  #queue: QueuedRequest[] = [];
 
   #timer: NodeJS.Timeout | undefined;
 
-  constructor(isKnown: () => boolean) {
-    this.#isKnown = isKnown;
+  constructor(isReady: () => boolean) {
+    this.#isReady = isReady;
   }
 
   /** Calls back at once, or when the daemon knows, or when it does not in time. */
-  enter(go: () => void): void {
+  enqueue(resume: () => void): void {
     const nowMs = performance.now();
-    const isStarting = nowMs - this.#startedAtMs < STARTING_MS;
-    if (this.#isKnown() || !isStarting || this.#waiting.length >= MAX_WAITING) {
-      go();
+    const isStarting = nowMs - this.#startedAtMs < STARTUP_PHASE_MS;
+    if (this.#isReady() || !isStarting || this.#queue.length >= MAX_QUEUED) {
+      resume();
       return;
     }
-    this.#waiting.push({ untilMs: nowMs + MAX_WAIT_MS, go });
-    this.#timer ??= setInterval(() => this.#look(), LOOK_MS).unref();
+    this.#queue.push({ untilMs: nowMs + MAX_WAIT_MS, resume });
+    this.#timer ??= setInterval(() => this.#releaseDue(), POLL_MS).unref();
   }
 
-  #look(): void {
-    const isKnown = this.#isKnown();
+  #releaseDue(): void {
+    const isReady = this.#isReady();
     const nowMs = performance.now();
-    const leaving = this.#waiting.filter(({ untilMs }) => isKnown || nowMs >= untilMs);
-    this.#waiting = this.#waiting.filter((one) => !leaving.includes(one));
-    if (this.#waiting.length === 0) {
+    const due = this.#queue.filter(({ untilMs }) => isReady || nowMs >= untilMs);
+    this.#queue = this.#queue.filter((one) => !due.includes(one));
+    if (this.#queue.length === 0) {
       clearInterval(this.#timer);
       this.#timer = undefined;
     }
-    leaving.forEach(({ go }) => go());
+    due.forEach(({ resume }) => resume());
   }
 }
--- a/packages/forwarding/src/exchange/connectionPool.ts
+++ b/packages/forwarding/src/exchange/connectionPool.ts
@@ -26,10 +26,11 @@
    * doubled answer may lie on a used one, and it may die as we write; either leaves it unknown
    * whether the request ran.
    */
-  take(isFreshNeeded: boolean): UpstreamConnection {
-    const kept = isFreshNeeded ? undefined : this.#takeIdle();
+  acquire(isFreshNeeded: boolean): UpstreamConnection {
+    const idle = isFreshNeeded ? undefined : this.#popIdle();
     return (
-      kept ?? new UpstreamConnection(this.#host, this.#port, (tookMs) => this.#noteConnect(tookMs))
+      idle ??
+      new UpstreamConnection(this.#host, this.#port, (tookMs) => this.#recordConnectTime(tookMs))
     );
   }
 
@@ -53,45 +54,45 @@
   }
 
   /** Gives back a connection whose answer was whole and its own. */
-  giveBack(connection: UpstreamConnection): void {
-    const isWanted = !this.#isClosed && this.#idle.length < MAX_IDLE_CONNECTIONS;
-    if (!isWanted || !connection.isUsable) {
+  release(connection: UpstreamConnection): void {
+    const isKept = !this.#isClosed && this.#idle.length < MAX_IDLE_CONNECTIONS;
+    if (!isKept || !connection.isUsable) {
       connection.destroy();
       return;
     }
     connection.markIdle();
     this.#idle.push(connection);
-    this.#dropOld();
+    this.#closeExpired();
   }
 
   /** Closes idle connections; those in use end with their request. */
   close(): void {
     this.#isClosed = true;
-    this.dropIdle();
+    this.closeIdle();
   }
 
   /** Drops idle connections, after they were found silent or dead. */
-  dropIdle(): void {
+  closeIdle(): void {
     this.#idle.forEach((connection) => connection.destroy());
     this.#idle = [];
   }
 
-  #noteConnect(tookMs: number): void {
+  #recordConnectTime(tookMs: number): void {
     this.#shortestConnectMs = Math.min(this.#shortestConnectMs ?? Infinity, tookMs);
   }
 
-  #takeIdle(): UpstreamConnection | undefined {
-    this.#dropOld();
+  #popIdle(): UpstreamConnection | undefined {
+    this.#closeExpired();
     return this.#idle.pop();
   }
 
-  #dropOld(): void {
-    const isGood = (connection: UpstreamConnection): boolean =>
+  #closeExpired(): void {
+    const isReusable = (connection: UpstreamConnection): boolean =>
       connection.isUsable && connection.idleMs < MAX_CONNECTION_IDLE_MS;
-    const good = this.#idle.filter(isGood);
-    if (good.length < this.#idle.length) {
-      this.#idle.filter((connection) => !isGood(connection)).forEach((one) => one.destroy());
-      this.#idle = good;
+    const reusable = this.#idle.filter(isReusable);
+    if (reusable.length < this.#idle.length) {
+      this.#idle.filter((connection) => !isReusable(connection)).forEach((one) => one.destroy());
+      this.#idle = reusable;
     }
   }
 }
--- a/packages/forwarding/src/exchange/exchange.ts
+++ b/packages/forwarding/src/exchange/exchange.ts
@@ -3,25 +3,32 @@
 import type { Dispatcher } from 'undici';
 import type { HeaderDialect, HeaderMap } from '../types.js';
 import type { ConnectionPool } from './connectionPool.js';
-import type { AnswerFraming, ExchangeListener, ExchangeVerdict, UpstreamRequest } from './types.js';
+import type {
+  ResponseFraming,
+  ExchangeListener,
+  ExchangeVerdict,
+  UpstreamRequest,
+} from './types.js';
 import type { UpstreamConnection } from './upstreamConnection.js';
 
 type Phase = 'connecting' | 'sent' | 'answering' | 'over';
 
-const verdictOf: Readonly<Record<Exclude<Phase, 'over'>, ExchangeVerdict>> = {
+const verdictByPhase: Readonly<Record<Exclude<Phase, 'over'>, ExchangeVerdict>> = {
   connecting: 'notSent',
   sent: 'unknown',
   answering: 'broken',
 };
 
 /** Statuses whose answers have no body. */
-const BODILESS = new Set([204, 304]);
+const BODILESS_STATUSES = new Set([204, 304]);
 
-const findFraming = (status: number, headers: HeaderMap): AnswerFraming => {
+const getResponseFraming = (status: number, headers: HeaderMap): ResponseFraming => {
   if (headers['transfer-encoding'] !== undefined) {
     return 'chunked';
   }
-  return headers['content-length'] !== undefined || BODILESS.has(status) ? 'length' : 'untilClose';
+  return headers['content-length'] !== undefined || BODILESS_STATUSES.has(status)
+    ? 'length'
+    : 'untilClose';
 };
 
 export class Exchange implements Dispatcher.DispatchHandler {
@@ -39,7 +46,7 @@
 
   #controller: Dispatcher.DispatchController | undefined;
 
-  #framing: AnswerFraming = 'length';
+  #framing: ResponseFraming = 'length';
 
   constructor(
     pool: ConnectionPool,
@@ -51,7 +58,7 @@
     this.#request = request;
     this.#dialect = dialect;
     this.#listener = listener;
-    this.#connection = pool.take(request.isFreshConnectionNeeded);
+    this.#connection = pool.acquire(request.isFreshConnectionNeeded);
   }
 
   start(): this {
@@ -111,7 +118,7 @@
       return;
     }
     this.#phase = 'answering';
-    this.#framing = findFraming(status, headers);
+    this.#framing = getResponseFraming(status, headers);
     this.#listener.onHead({ status, headers, facts, framing: this.#framing });
   }
 
@@ -130,7 +137,7 @@
       return;
     }
     this.#phase = 'over';
-    this.#pool.giveBack(this.#connection);
+    this.#pool.release(this.#connection);
     this.#listener.onEnd();
   }
 
@@ -145,6 +152,6 @@
     }
     this.#phase = 'over';
     this.#connection.destroy();
-    this.#listener.onFailure({ verdict: verdictOf[phase], cause });
+    this.#listener.onFailure({ verdict: verdictByPhase[phase], cause });
   }
 }
--- a/packages/forwarding/src/exchange/types.ts
+++ b/packages/forwarding/src/exchange/types.ts
@@ -14,17 +14,17 @@
 }
 
 /** How the end of an answer is told. `untilClose`: by the end of its connection, whole or not. */
-export type AnswerFraming = 'length' | 'chunked' | 'untilClose';
+export type ResponseFraming = 'length' | 'chunked' | 'untilClose';
 
-export interface AnswerHead {
+export interface ResponseHead {
   readonly status: number;
   readonly headers: HeaderMap;
   readonly facts: AnswerFacts;
-  readonly framing: AnswerFraming;
+  readonly framing: ResponseFraming;
 }
 
 export interface ExchangeListener {
-  onHead(head: AnswerHead): void;
+  onHead(head: ResponseHead): void;
   onData(bytes: Buffer): void;
   /** The whole answer has come. */
   onEnd(): void;
--- a/packages/forwarding/src/exchange/upstreamConnection.ts
+++ b/packages/forwarding/src/exchange/upstreamConnection.ts
@@ -9,7 +9,7 @@
 
 /** How much before an upstream's announced idle time-out its connection is closed here. */
 const KEEP_ALIVE_MARGIN_MS = 700;
-const MAX_ANSWER_HEADER_BYTES = 65_536;
+const MAX_RESPONSE_HEADER_BYTES = 65_536;
 
 export class UpstreamConnection {
   readonly #client: Client;
@@ -35,7 +35,7 @@
       pipelining: 1,
       headersTimeout: 0,
       bodyTimeout: 0,
-      maxHeaderSize: MAX_ANSWER_HEADER_BYTES,
+      maxHeaderSize: MAX_RESPONSE_HEADER_BYTES,
       keepAliveTimeoutThreshold: KEEP_ALIVE_MARGIN_MS,
     });
   }
--- a/packages/forwarding/src/rollouts/narrowToVersion.ts
+++ b/packages/forwarding/src/rollouts/filterByVersion.ts
@@ -3,7 +3,7 @@
 import type { RequestOptions, RolloutState } from '../types.js';
 import type { UpstreamEntry } from '../upstreams/index.js';
 
-export interface VersionQuestion {
+export interface VersionQuery {
   readonly state: RolloutState;
   readonly toVersion: string;
   /** The version that served before the order; undefined where that is not known. */
@@ -22,24 +22,26 @@
 const HASH_RANGE = 2 ** 32;
 const SHARE_SALT = 'rollout';
 
-const listOf = (entries: readonly UpstreamEntry[], version: string | undefined): UpstreamEntry[] =>
-  entries.filter(({ upstream }) => upstream.softwareVersion === version);
+const listOfVersion = (
+  entries: readonly UpstreamEntry[],
+  version: string | undefined,
+): UpstreamEntry[] => entries.filter(({ upstream }) => upstream.softwareVersion === version);
 
-const orOther = (
+const orIfEmpty = (
   wanted: UpstreamEntry[],
   other: readonly UpstreamEntry[],
 ): readonly UpstreamEntry[] => (wanted.length > 0 ? wanted : other);
 
 /** Upstreams of several versions may be listed, such as a straggler that missed the last roll-out. */
-const listPresent = (
-  { toVersion, fromVersion, ranOn }: VersionQuestion,
+const listCurrentVersion = (
+  { toVersion, fromVersion, ranOn }: VersionQuery,
   entries: readonly UpstreamEntry[],
 ): readonly UpstreamEntry[] => {
   const present = entries.filter(({ upstream }) => upstream.softwareVersion !== toVersion);
-  return orOther(listOf(present, fromVersion ?? ranOn), present);
+  return orIfEmpty(listOfVersion(present, fromVersion ?? ranOn), present);
 };
 
-const isMoved = ({ toVersion, place, ranOn, options }: VersionQuestion): boolean => {
+const isAssignedToNewVersion = ({ toVersion, place, ranOn, options }: VersionQuery): boolean => {
   const { session, attemptId } = options;
   const share = session === undefined ? place.newShare : place.sessionShare;
   const weight = getAffinityWeight(hashAffinityKey(session ?? attemptId), SHARE_SALT);
@@ -52,31 +54,33 @@
  * the old version.
  */
 export const isSessionVersionEvacuated = (
-  { state, toVersion, ranOn, hasEvacuatedUpstreams }: VersionQuestion,
+  { state, toVersion, ranOn, hasEvacuatedUpstreams }: VersionQuery,
   entries: readonly UpstreamEntry[],
 ): boolean =>
   state === 'running' &&
   ranOn === toVersion &&
   hasEvacuatedUpstreams &&
-  listOf(entries, toVersion).length === 0;
+  listOfVersion(entries, toVersion).length === 0;
 
-type Narrow = (
-  question: VersionQuestion,
+type VersionFilter = (
+  query: VersionQuery,
   entries: readonly UpstreamEntry[],
 ) => readonly UpstreamEntry[];
 
-const narrowByState: Readonly<Record<RolloutState, Narrow>> = {
+const filterByState: Readonly<Record<RolloutState, VersionFilter>> = {
   // The old version's upstreams are stopped at once; those still listed are going.
-  completed: ({ toVersion }, entries) => orOther(listOf(entries, toVersion), entries),
-  rolledBack: listPresent,
-  running: (question, entries) => {
-    if (isSessionVersionEvacuated(question, entries)) {
+  completed: ({ toVersion }, entries) => orIfEmpty(listOfVersion(entries, toVersion), entries),
+  rolledBack: listCurrentVersion,
+  running: (query, entries) => {
+    if (isSessionVersionEvacuated(query, entries)) {
       return [];
     }
-    const present = listPresent(question, entries);
-    return isMoved(question) ? orOther(listOf(entries, question.toVersion), present) : present;
+    const present = listCurrentVersion(query, entries);
+    return isAssignedToNewVersion(query)
+      ? orIfEmpty(listOfVersion(entries, query.toVersion), present)
+      : present;
   },
 };
 
-export const narrowToVersion: Narrow = (question, entries) =>
-  narrowByState[question.state](question, entries);
+export const filterByVersion: VersionFilter = (query, entries) =>
+  filterByState[query.state](query, entries);
--- a/packages/forwarding/src/rollouts/rolloutGuide.test.ts
+++ b/packages/forwarding/src/rollouts/rolloutGuide.test.ts
@@ -6,7 +6,7 @@
 import { StoreClock, readClocks } from '../configuration/storeClock.js';
 import type { RequestOptions, RolloutOrder } from '../types.js';
 import { RolloutGuide } from './rolloutGuide.js';
-import { createEntry } from './testSupport/modelDaemon.js';
+import { createEntry } from './testSupport/simulatedDaemon.js';
 import type { RolloutStatus } from './types.js';
 
 const ORDER: RolloutOrder = { service: 's', toVersion: 'v2', durationMs: 20_000 };
@@ -52,8 +52,8 @@
   ...(session === undefined ? {} : { session }),
 });
 
-const narrow = (guide: RolloutGuide, attemptId = 'a', session?: string): string[] =>
-  guide.narrow('s', createOptions(attemptId, session), [OLD, NEW]).map(({ id }) => id);
+const filterIds = (guide: RolloutGuide, attemptId = 'a', session?: string): string[] =>
+  guide.filterUpstreams('s', createOptions(attemptId, session), [OLD, NEW]).map(({ id }) => id);
 
 // Symptom: after a restart a service has no upstream. Sequence: a daemon reads the status table before
 // the operator's, and drops the status of an order that it does not know yet. Cause: each row is read
@@ -62,47 +62,47 @@
   const guide = createGuide();
   guide.takeStatus(createStatus('completed'), 9);
   guide.takeOrder(ORDER, ORDER_VERSION, undefined);
-  assert.equal(narrow(guide), ['v2']);
+  assert.equal(filterIds(guide), ['v2']);
 });
 
 test('a status of an earlier order says nothing of this one', () => {
   const guide = createGuide();
   guide.takeStatus(createStatus('completed', 3), 4);
   guide.takeOrder(ORDER, ORDER_VERSION, undefined);
-  assert.equal(narrow(guide), ['v1']);
+  assert.equal(filterIds(guide), ['v1']);
 });
 
 test('a daemon that starts took an order that is long over for one that begins', () => {
   const guide = createGuide();
-  assert.ok(guide.isKnown);
+  assert.ok(guide.isStateKnown);
   guide.takeOrder(ORDER, ORDER_VERSION, undefined);
-  assert.not(guide.isKnown);
+  assert.not(guide.isStateKnown);
   const names = Array.from({ length: 400 }, (_, index) => `name ${index}`);
-  assert.ok(names.every((name) => narrow(guide, name)[0] === 'v1'));
+  assert.ok(names.every((name) => filterIds(guide, name)[0] === 'v1'));
   guide.takeStatus(createStatus('completed'), 9);
   guide.noteStatusesRead();
-  assert.ok(guide.isKnown);
-  assert.ok(names.every((name) => narrow(guide, name)[0] === 'v2'));
+  assert.ok(guide.isStateKnown);
+  assert.ok(names.every((name) => filterIds(guide, name)[0] === 'v2'));
 });
 
 test('after a roll-back nothing goes to the new version, whatever else is left', () => {
   const guide = createGuide();
   guide.takeOrder(ORDER, ORDER_VERSION, 0);
   guide.takeStatus(createStatus('rolledBack'), 9);
-  assert.equal(narrow(guide), ['v1']);
-  assert.equal(guide.narrow('s', createOptions('a'), [NEW]), []);
+  assert.equal(filterIds(guide), ['v1']);
+  assert.equal(guide.filterUpstreams('s', createOptions('a'), [NEW]), []);
 });
 
 test('while the new version is tried a few requests go there, and no session', () => {
   const guide = createGuide();
   guide.takeOrder(ORDER, ORDER_VERSION, 0);
   const names = Array.from({ length: 400 }, (_, index) => `name ${index}`);
-  const share = names.filter((name) => narrow(guide, name)[0] === 'v2').length / names.length;
+  const share = names.filter((name) => filterIds(guide, name)[0] === 'v2').length / names.length;
   assert.ok(share > 0.02 && share < 0.12, String(share));
-  const first = names.map((name) => narrow(guide, 'a', name)[0]);
+  const first = names.map((name) => filterIds(guide, 'a', name)[0]);
   assert.ok(first.every((id) => id === 'v1'));
   assert.equal(
-    names.map((name) => narrow(guide, 'b', name)[0]),
+    names.map((name) => filterIds(guide, 'b', name)[0]),
     first,
   );
 });
--- a/packages/forwarding/src/rollouts/rolloutGuide.ts
+++ b/packages/forwarding/src/rollouts/rolloutGuide.ts
@@ -8,20 +8,20 @@
 import { describeCounts } from './describeCounts.js';
 import {
   isSessionVersionEvacuated,
-  narrowToVersion,
-  type VersionQuestion,
-} from './narrowToVersion.js';
+  filterByVersion,
+  type VersionQuery,
+} from './filterByVersion.js';
 import { ServiceRollout } from './serviceRollout.js';
 import { SessionVersions, type SessionRun } from './sessionVersions.js';
 import type {
-  AnswerBody,
+  BodyProgress,
   RolloutAnswer,
   RolloutEvidence,
   RolloutStage,
-  RolloutStanding,
+  RolloutProgress,
   RolloutStatus,
   RolloutWork,
-  SessionAnswer,
+  SessionRunReport,
 } from './types.js';
 
 interface KnownStatus {
@@ -107,7 +107,7 @@
   }
 
   /** Whether it is known where each roll-out stands: orders and statuses are read one after the other. */
-  get isKnown(): boolean {
+  get isStateKnown(): boolean {
     return this.#hasReadStatuses || this.#rollouts.size === 0;
   }
 
@@ -179,12 +179,12 @@
   get ownCounts(): readonly ServiceRolloutCounts[] {
     return [...this.#rollouts.values()]
       .filter(({ isStoredStateFinal }) => !isStoredStateFinal)
-      .map(({ order, orderVersion, ledger }) => ({
+      .map(({ order, orderVersion, stats }) => ({
         service: order.service,
         orderVersion,
-        candidate: ledger.candidate,
-        present: ledger.present,
-        candidateAtFullShare: ledger.candidateAtFullShare,
+        candidate: stats.candidate,
+        present: stats.present,
+        candidateAtFullShare: stats.candidateAtFullShare,
       }));
   }
 
@@ -200,25 +200,25 @@
       return;
     }
     if (rollout.count(answer)) {
-      this.#noteBad(rollout, answer);
+      this.#handleBadAnswer(rollout, answer);
     }
   }
 
-  isBodySlow(work: RolloutWork, body: AnswerBody): boolean {
+  isBodySlow(work: RolloutWork, body: BodyProgress): boolean {
     return this.#rollouts.get(work.service)?.isBodySlow(work, body) ?? false;
   }
 
   /** An answer that was noted goes on too slowly; to be told once. */
-  noteSlowBody(work: RolloutWork, body: AnswerBody): void {
+  recordSlowBody(work: RolloutWork, body: BodyProgress): void {
     const rollout = this.#rollouts.get(work.service);
     if (rollout?.countSlowBody(work)) {
-      this.#noteBad(rollout, { ...work, ...body });
+      this.#handleBadAnswer(rollout, { ...work, ...body });
     }
   }
 
   /** A whole answer, by whose pace others are judged. */
-  learnBody(work: RolloutWork, body: AnswerBody): void {
-    this.#rollouts.get(work.service)?.learnBody(work, body);
+  recordBodyRate(work: RolloutWork, body: BodyProgress): void {
+    this.#rollouts.get(work.service)?.recordBodyRate(work, body);
   }
 
   /** When an answer that has not begun is told as slow; Infinity for never. */
@@ -227,7 +227,7 @@
   }
 
   /** Where the service's roll-out stands, as far as is known here; undefined without one. */
-  findStanding(service: string): RolloutStanding | undefined {
+  findProgress(service: string): RolloutProgress | undefined {
     const rollout = this.#rollouts.get(service);
     if (rollout === undefined) {
       return undefined;
@@ -252,21 +252,21 @@
   }
 
   /** A request of the session runs, or has ended. */
-  noteSessionRun({ service, session, softwareVersion, request }: SessionAnswer): void {
-    const move = this.#sessionVersions.note({ service, session }, softwareVersion);
+  recordSessionRun({ service, session, softwareVersion, request }: SessionRunReport): void {
+    const move = this.#sessionVersions.recordRun({ service, session }, softwareVersion);
     if (move === undefined) {
       return;
     }
-    const standing = this.findStanding(service);
+    const progress = this.findProgress(service);
     this.#logger.info(
-      { event: 'sessionMoved', request, ...move, rollout: standing },
+      { event: 'sessionMoved', request, ...move, rollout: progress },
       'session changed its version',
     );
-    this.#countSessionMove(standing?.stage ?? 'none');
+    this.#countSessionMove(progress?.stage ?? 'none');
   }
 
   /** The upstreams that this request may go to. */
-  narrow(
+  filterUpstreams(
     service: string,
     options: RequestOptions,
     entries: readonly UpstreamEntry[],
@@ -275,12 +275,12 @@
     if (rollout === undefined) {
       return entries;
     }
-    const question = this.#createQuestion(rollout, options);
-    const left = narrowToVersion(question, entries);
+    const query = this.#createQuery(rollout, options);
+    const left = filterByVersion(query, entries);
     const isNew = ({ upstream }: UpstreamEntry): boolean =>
-      upstream.softwareVersion === question.toVersion;
-    if (question.place.newShare === 1 && !left.some(isNew)) {
-      rollout.noteMissing();
+      upstream.softwareVersion === query.toVersion;
+    if (query.place.newShare === 1 && !left.some(isNew)) {
+      rollout.resetFullShare();
     }
     return left;
   }
@@ -298,11 +298,11 @@
     const run = this.findSessionRun(service, options);
     const isVersionEvacuated =
       rollout !== undefined &&
-      isSessionVersionEvacuated(this.#createQuestion(rollout, options), entries);
+      isSessionVersionEvacuated(this.#createQuery(rollout, options), entries);
     return run && isVersionEvacuated ? this.#sessionVersions.getRemainingMs(run) : undefined;
   }
 
-  #createQuestion(rollout: ServiceRollout, options: RequestOptions): VersionQuestion {
+  #createQuery(rollout: ServiceRollout, options: RequestOptions): VersionQuery {
     const { service, toVersion } = rollout.order;
     const ranOn = this.findSessionRun(service, options)?.softwareVersion;
     return {
@@ -329,9 +329,9 @@
     }
   }
 
-  #noteBad(rollout: ServiceRollout, answer: RolloutWork): void {
+  #handleBadAnswer(rollout: ServiceRollout, answer: RolloutWork): void {
     this.#logger.info(
-      { event: 'badCandidateAnswer', ...answer, candidate: rollout.ledger.candidate },
+      { event: 'badCandidateAnswer', ...answer, candidate: rollout.stats.candidate },
       'bad answer of the new version',
     );
     this.#judge(rollout);
@@ -345,7 +345,7 @@
   }
 
   #logState(rollout: ServiceRollout, source: string): void {
-    const { order, state, ledger } = rollout;
+    const { order, state, stats } = rollout;
     this.#logger.info(
       {
         event: 'rolloutState',
@@ -353,8 +353,8 @@
         toVersion: order.toVersion,
         state,
         source,
-        candidate: ledger.candidate,
-        present: ledger.present,
+        candidate: stats.candidate,
+        present: stats.present,
         fleet: describeCounts(rollout.fleetCounts),
         storeAgeMs: Math.round(this.#freshness.ageMs),
       },
--- a/packages/forwarding/src/rollouts/rolloutKeeper.test.ts
+++ b/packages/forwarding/src/rollouts/rolloutKeeper.test.ts
@@ -23,7 +23,7 @@
 test.after.each(({ clock }) => clock.uninstall());
 
 const DAEMONS = 195;
-const KNOWN_MS = 500;
+const PROPAGATION_MS = 500;
 
 /** One row that daemons write under a condition, and that all know half a second later. */
 class StatusRow {
@@ -58,7 +58,7 @@
     const version = this.#version;
     setTimeout(() => {
       this.guides.forEach((guide) => guide.takeStatus(status, version));
-    }, KNOWN_MS);
+    }, PROPAGATION_MS);
     return Promise.resolve(true);
   }
 }
@@ -92,7 +92,7 @@
   });
 
 /** Daemons of these ranks, each with the order just given. */
-const startKeepers = (row: StatusRow, ranks: readonly number[]): void => {
+const startPublishers = (row: StatusRow, ranks: readonly number[]): void => {
   const freshness = new Freshness();
   freshness.confirm({ asked: readClocks(), serverTimeMs: 0 });
   ranks.forEach((rank) => {
@@ -124,7 +124,7 @@
 // order comes. Cause: each writes after a wait drawn from five.
 test('of many daemons one writes', ({ clock }) => {
   const row = new StatusRow();
-  startKeepers(row, listRanks(0));
+  startPublishers(row, listRanks(0));
   clock.tick(3_000);
   assert.ok(isKnown(row));
   assert.is(row.writes, 1);
@@ -132,7 +132,7 @@
 
 test('the next one writes when the first three are gone', ({ clock }) => {
   const row = new StatusRow();
-  startKeepers(row, listRanks(3));
+  startPublishers(row, listRanks(3));
   clock.tick(3_500);
   assert.ok(isKnown(row));
   assert.is(row.writes, 1);
@@ -143,7 +143,7 @@
 }) => {
   const row = new StatusRow();
   row.isDown = true;
-  startKeepers(row, listRanks(0));
+  startPublishers(row, listRanks(0));
   clock.tick(5_000);
   assert.ok(row.writes <= 20, `${row.writes} writes`);
   row.isDown = false;
@@ -175,7 +175,7 @@
     freshness.confirm({ asked: readClocks(), serverTimeMs: performance.now() });
   };
   confirm();
-  setInterval(confirm, KNOWN_MS);
+  setInterval(confirm, PROPAGATION_MS);
   const logger = createSilentLogger();
   const guide = createGuide(vm, freshness, findPeerCounts, upstreamsByDataCentre);
   const daemon = { guide };
@@ -210,7 +210,7 @@
   workKind: 'read',
 };
 
-const judgeBad = (guide: RolloutGuide): void => {
+const recordBadAnswers = (guide: RolloutGuide): void => {
   Array.from({ length: 5 }, () => BAD_ANSWER).forEach((answer) => guide.noteAnswer(answer));
 };
 
@@ -226,7 +226,7 @@
     const start = { afterStoreMs: startedAtMs, beforeStoreMs: startedAtMs };
     const status = { service: 's', toVersion: 'v2', orderVersion: 7, ...start };
     clock.tick(10_000);
-    judgeBad(judge.guide);
+    recordBadAnswers(judge.guide);
     clock.tick(restartAtMs - 10_000);
     const late = ['late-1', 'late-2'].map((vm) => startDaemon(row, fleet, { vm, canWrite: true }));
     late.forEach(({ guide }) => guide.takeStatus({ ...status, state: 'running' }, 0));
@@ -263,7 +263,7 @@
   confirm();
   clock.tick(1_500);
   assert.is(row.state, 'running');
-  judgeBad(guide);
+  recordBadAnswers(guide);
   clock.tick(3_000);
   assert.is(row.state, 'rolledBack');
 });
@@ -275,7 +275,7 @@
   const fleet: StartedDaemon[] = [];
   const { guide } = startDaemon(row, fleet, { vm: 'only', givenWithinMs: 0, canWrite: true });
   const options = { attemptId: 'a', promptTokens: 0, maxOutputTokens: 0, promptParts: [] };
-  const asking = setInterval(() => guide.narrow('s', options, []), 100);
+  const asking = setInterval(() => guide.filterUpstreams('s', options, []), 100);
   clock.tick(30_000);
   assert.is(row.state, 'running');
   clearInterval(asking);
--- a/packages/forwarding/src/rollouts/rolloutKeeper.ts
+++ b/packages/forwarding/src/rollouts/rolloutKeeper.ts
@@ -19,7 +19,7 @@
 const MAX_WAIT_TICKS = 5;
 
 /** For each daemon that comes before: a row is written and known everywhere within this time. */
-const TURN_TICKS = 3;
+const TICKS_PER_RANK = 3;
 
 /** Bad answers within this time are told in one write. */
 const EVIDENCE_DELAY_MS = 200;
@@ -28,9 +28,9 @@
  * A daemon that has just started completes no roll-out: others may have judged the version bad and not
  * reached the store to say so. They tell one daemon each at every tick, so within this time it has heard.
  */
-const HEARING_MS = 3_000;
+const STARTUP_LISTEN_MS = 3_000;
 
-interface Wish {
+interface PendingWrite {
   readonly state: RolloutState;
   ticksLeft: number;
 }
@@ -54,7 +54,7 @@
 
   readonly #startedAtMs = performance.now();
 
-  readonly #wishes = new Map<ServiceRollout, Wish>();
+  readonly #pendingWrites = new Map<ServiceRollout, PendingWrite>();
 
   /** Roll-outs already reported as due but unproven. */
   readonly #loggedUnproven = new WeakSet<ServiceRollout>();
@@ -86,13 +86,13 @@
   }
 
   start(): void {
-    this.#guide.onBadAnswer((rollout) => this.#tellEvidence(rollout));
-    this.#guide.onOrder(() => this.#beginTicks());
-    this.#beginTicks();
+    this.#guide.onBadAnswer((rollout) => this.#scheduleEvidenceWrite(rollout));
+    this.#guide.onOrder(() => this.#startTicks());
+    this.#startTicks();
   }
 
   /** Only while there are orders: an idle daemon is not woken for nothing. */
-  #beginTicks(): void {
+  #startTicks(): void {
     this.#timer ??= setInterval(() => this.#tick(), TICK_MS).unref();
   }
 
@@ -100,23 +100,23 @@
     if ([...this.#guide.rollouts].every(({ isStoredStateFinal }) => isStoredStateFinal)) {
       clearInterval(this.#timer);
       this.#timer = undefined;
-      this.#wishes.clear();
+      this.#pendingWrites.clear();
       return;
     }
     this.#guide.judgeAll();
     for (const rollout of this.#guide.rollouts) {
-      this.#tellVerdict(rollout);
-      const state = this.#findWish(rollout);
+      this.#announceBadVersion(rollout);
+      const state = this.#findStateToWrite(rollout);
       if (state !== undefined) {
-        this.#pursue(rollout, state);
+        this.#scheduleWrite(rollout, state);
       } else {
-        this.#wishes.delete(rollout);
+        this.#pendingWrites.delete(rollout);
       }
     }
   }
 
   /** What the row should say and does not. */
-  #findWish(rollout: ServiceRollout): RolloutState | undefined {
+  #findStateToWrite(rollout: ServiceRollout): RolloutState | undefined {
     if (!rollout.isStatusKnown) {
       return rollout.state === 'running' ? 'running' : undefined;
     }
@@ -127,12 +127,12 @@
       return rollout.state;
     }
     const { phase } = rollout.getPlace(this.#freshness.ageMs);
-    const hasHeard = performance.now() - this.#startedAtMs >= HEARING_MS;
+    const hasHeard = performance.now() - this.#startedAtMs >= STARTUP_LISTEN_MS;
     // A daemon that stood still while it heard nothing comes to the end without having tried the version.
     if (phase !== 'closing' || !hasHeard) {
       return undefined;
     }
-    if (!rollout.isSeen || !rollout.isProven) {
+    if (!rollout.hasFullShareLongEnough || !rollout.isProven) {
       this.#logUnproven(rollout);
       return undefined;
     }
@@ -153,28 +153,29 @@
   }
 
   /** Until the store says so, since whoever judged may not reach it. */
-  #tellVerdict({ state, isStoredStateFinal, order, orderVersion }: ServiceRollout): void {
+  #announceBadVersion({ state, isStoredStateFinal, order, orderVersion }: ServiceRollout): void {
     if (state === 'rolledBack' && !isStoredStateFinal) {
       this.#tellBadVersion({ service: order.service, orderVersion });
     }
   }
 
-  #pursue(rollout: ServiceRollout, state: RolloutState): void {
-    const known = this.#wishes.get(rollout);
-    const wish = known?.state === state ? known : { state, ticksLeft: this.#drawWait(state) };
-    this.#wishes.set(rollout, wish);
-    wish.ticksLeft -= 1;
-    if (wish.ticksLeft < 0) {
-      wish.ticksLeft = MAX_WAIT_TICKS * (1 + (this.#getWriterRank() ?? 0));
+  #scheduleWrite(rollout: ServiceRollout, state: RolloutState): void {
+    const known = this.#pendingWrites.get(rollout);
+    const pending =
+      known?.state === state ? known : { state, ticksLeft: this.#getInitialWaitTicks(state) };
+    this.#pendingWrites.set(rollout, pending);
+    pending.ticksLeft -= 1;
+    if (pending.ticksLeft < 0) {
+      pending.ticksLeft = MAX_WAIT_TICKS * (1 + (this.#getWriterRank() ?? 0));
       void this.#write(rollout, state);
     }
   }
 
   /** In a small fleet a roll-back is written at once. */
-  #drawWait(state: RolloutState): number {
+  #getInitialWaitTicks(state: RolloutState): number {
     const rank = this.#getWriterRank();
     if (rank !== undefined) {
-      return rank * TURN_TICKS;
+      return rank * TICKS_PER_RANK;
     }
     return state === 'rolledBack' ? 0 : this.#random.nextInt(MAX_WAIT_TICKS);
   }
@@ -212,7 +213,7 @@
     }
   }
 
-  #tellEvidence(rollout: ServiceRollout): void {
+  #scheduleEvidenceWrite(rollout: ServiceRollout): void {
     if (this.#pendingEvidence.has(rollout)) {
       return;
     }
@@ -224,14 +225,14 @@
   }
 
   async #writeEvidence(rollout: ServiceRollout): Promise<void> {
-    const { order, orderVersion, ledger } = rollout;
+    const { order, orderVersion, stats } = rollout;
     try {
       await this.#writer.writeEvidence({
         service: order.service,
         vm: this.#vm,
         orderVersion,
-        candidate: ledger.candidate,
-        present: ledger.present,
+        candidate: stats.candidate,
+        present: stats.present,
       });
     } catch (error) {
       this.#logger.warn({ event: 'evidenceNotTold', cause: getErrorMessage(error) });
--- a/packages/forwarding/src/rollouts/rolloutStart.ts
+++ b/packages/forwarding/src/rollouts/rolloutStart.ts
@@ -11,16 +11,16 @@
   readonly #clock: StoreClock;
 
   /** On `performance.now()`, as all that is not of the store. */
-  #beforeMs = performance.now();
+  #latestMs = performance.now();
 
-  #afterMs: number | undefined;
+  #earliestMs: number | undefined;
 
   #stored: StoredStart | undefined;
 
   /** `givenWithinMs`: the order is at most this old; undefined where nobody here can know. */
   constructor(clock: StoreClock, givenWithinMs: number | undefined) {
     this.#clock = clock;
-    this.#afterMs = givenWithinMs === undefined ? undefined : this.#beforeMs - givenWithinMs;
+    this.#earliestMs = givenWithinMs === undefined ? undefined : this.#latestMs - givenWithinMs;
   }
 
   noteStored({ afterStoreMs, beforeStoreMs }: StoredStart): void {
@@ -30,15 +30,15 @@
 
   /** Whether more is known than that there is an order. */
   get isKnown(): boolean {
-    return this.#afterMs !== undefined || this.#stored !== undefined;
+    return this.#earliestMs !== undefined || this.#stored !== undefined;
   }
 
   get elapsed(): RolloutElapsed {
     this.#applyStored();
     const nowMs = performance.now();
     return {
-      atLeastMs: nowMs - this.#beforeMs,
-      atMostMs: nowMs - (this.#afterMs ?? this.#beforeMs),
+      atLeastMs: nowMs - this.#latestMs,
+      atMostMs: nowMs - (this.#earliestMs ?? this.#latestMs),
     };
   }
 
@@ -47,8 +47,8 @@
     if (this.#stored !== undefined) {
       return this.#stored;
     }
-    const before = this.#clock.toStoreBounds(this.#beforeMs);
-    const after = this.#clock.toStoreBounds(this.#afterMs ?? this.#beforeMs);
+    const before = this.#clock.toStoreBounds(this.#latestMs);
+    const after = this.#clock.toStoreBounds(this.#earliestMs ?? this.#latestMs);
     return (
       before &&
       after && {
@@ -64,7 +64,7 @@
       return;
     }
     const latestMs = this.#clock.toLatestSteadyMs(this.#stored.beforeStoreMs);
-    this.#beforeMs = Math.min(this.#beforeMs, latestMs ?? Infinity);
-    this.#afterMs = this.#clock.toSteadyMs(this.#stored.afterStoreMs) ?? this.#afterMs;
+    this.#latestMs = Math.min(this.#latestMs, latestMs ?? Infinity);
+    this.#earliestMs = this.#clock.toSteadyMs(this.#stored.afterStoreMs) ?? this.#earliestMs;
   }
 }
--- a/packages/forwarding/src/rollouts/serviceRollout.ts
+++ b/packages/forwarding/src/rollouts/serviceRollout.ts
@@ -13,7 +13,7 @@
 import { NO_ROLLOUT_COUNTS, combineRolloutCounts, type RolloutCounts } from '../peers/index.js';
 import type { RolloutOrder, RolloutState } from '../types.js';
 import type {
-  AnswerBody,
+  BodyProgress,
   RolloutAnswer,
   RolloutEvidence,
   RolloutStatus,
@@ -21,15 +21,15 @@
   StoredStart,
 } from './types.js';
 import { RolloutStart } from './rolloutStart.js';
-import { VersionLedger, type VersionRole } from './versionLedger.js';
+import { VersionStats, type VersionRole } from './versionStats.js';
 
 /** A daemon that has not heard from the store for this long raises no share any more. */
-const MAX_BLIND_MS = 3_500;
+const MAX_STORE_SILENCE_MS = 3_500;
 
 /** Of a roll-out's time, the part for which a version must have had all requests before it is completed. */
-const SEEN_PART = 0.12;
+const MIN_FULL_SHARE_FRACTION = 0.12;
 
-export interface RolloutFacts {
+export interface ServiceRolloutOptions {
   readonly order: RolloutOrder;
   readonly orderVersion: number;
   /** The order is at most this old; undefined where nobody here can know. */
@@ -48,19 +48,19 @@
 
   readonly orderVersion: number;
 
-  readonly ledger = new VersionLedger();
+  readonly stats = new VersionStats();
 
-  readonly #others = new Map<string, RolloutEvidence>();
+  readonly #peerEvidence = new Map<string, RolloutEvidence>();
 
   readonly #orderTakenAtMs = performance.now();
 
   readonly #start: RolloutStart;
 
   /** Since when all requests go to the new version; undefined before. */
-  #allMovedAtMs: number | undefined;
+  #fullShareSinceMs: number | undefined;
 
   /** By the schedule; a daemon that hears nothing stands still, and none goes back. */
-  #reached: RolloutElapsed = { atLeastMs: 0, atMostMs: 0 };
+  #maxElapsed: RolloutElapsed = { atLeastMs: 0, atMostMs: 0 };
 
   #state: RolloutState = 'running';
 
@@ -77,7 +77,7 @@
 
   readonly #countUpstreams: () => ReadonlyMap<string, number>;
 
-  constructor(facts: RolloutFacts) {
+  constructor(facts: ServiceRolloutOptions) {
     const { order, orderVersion, givenWithinMs, clock, allowedExposure } = facts;
     this.order = order;
     this.orderVersion = orderVersion;
@@ -137,36 +137,36 @@
 
   takeEvidence(evidence: RolloutEvidence): void {
     if (evidence.orderVersion === this.orderVersion) {
-      this.#others.set(evidence.vm, evidence);
+      this.#peerEvidence.set(evidence.vm, evidence);
     }
   }
 
   /** How long an answer may take before it is evidence; Infinity where none is asked for. */
   getSlowMs({ softwareVersion, workKind }: RolloutWork): number {
     const isTried = this.#state === 'running' && softwareVersion === this.order.toVersion;
-    return isTried ? this.ledger.getSlowMs(workKind) : Infinity;
+    return isTried ? this.stats.getSlowMs(workKind) : Infinity;
   }
 
   /** True when it is a bad answer of the new version. */
   count(answer: RolloutAnswer): boolean {
     const role = this.#getRole(answer);
-    return this.ledger.count(role, answer) && role === 'candidate';
+    return this.stats.count(role, answer) && role === 'candidate';
   }
 
-  isBodySlow({ workKind }: RolloutWork, { bytes, tookMs }: AnswerBody): boolean {
-    return this.#state === 'running' && tookMs > this.ledger.getSlowBodyMs(workKind, bytes);
+  isBodySlow({ workKind }: RolloutWork, { bytes, tookMs }: BodyProgress): boolean {
+    return this.#state === 'running' && tookMs > this.stats.getSlowBodyMs(workKind, bytes);
   }
 
   /** True when it is a bad answer of the new version. */
   countSlowBody(work: RolloutWork): boolean {
     const role = this.#getRole(work);
-    this.ledger.countSlowBody(role, work);
+    this.stats.countSlowBody(role, work);
     return role === 'candidate';
   }
 
-  learnBody(work: RolloutWork, { bytes, tookMs }: AnswerBody): void {
+  recordBodyRate(work: RolloutWork, { bytes, tookMs }: BodyProgress): void {
     if (this.#getRole(work) === 'present' && bytes > 0) {
-      this.ledger.learnBody(work.workKind, tookMs / bytes);
+      this.stats.recordBodyRate(work.workKind, tookMs / bytes);
     }
   }
 
@@ -175,13 +175,13 @@
     if (this.#state !== 'running') {
       return false;
     }
-    const storedEvidence = [...this.#others.values()];
+    const storedEvidence = [...this.#peerEvidence.values()];
     const candidate = storedEvidence
       .map((one) => one.candidate)
-      .reduce(addVersionCounts, this.ledger.candidate);
+      .reduce(addVersionCounts, this.stats.candidate);
     const present = storedEvidence
       .map((one) => one.present)
-      .reduce(addVersionCounts, this.ledger.present);
+      .reduce(addVersionCounts, this.stats.present);
     const { fleetCounts } = this;
     const isBad =
       isVersionBad(candidate, present) || isVersionBad(fleetCounts.candidate, fleetCounts.present);
@@ -203,35 +203,35 @@
       return ROLLOUT_NOT_BEGUN;
     }
     const unheardMs = Math.min(storeAgeMs, performance.now() - this.#orderTakenAtMs);
-    const blindMs = Math.max(0, unheardMs - MAX_BLIND_MS);
+    const blindMs = Math.max(0, unheardMs - MAX_STORE_SILENCE_MS);
     const { atLeastMs, atMostMs } = this.#start.elapsed;
-    this.#reached = {
-      atLeastMs: Math.max(this.#reached.atLeastMs, atLeastMs - blindMs),
-      atMostMs: Math.max(this.#reached.atMostMs, atMostMs - blindMs),
+    this.#maxElapsed = {
+      atLeastMs: Math.max(this.#maxElapsed.atLeastMs, atLeastMs - blindMs),
+      atMostMs: Math.max(this.#maxElapsed.atMostMs, atMostMs - blindMs),
     };
-    const place = getRolloutPlace(this.#reached, this.order.durationMs, this.#allowedExposure);
+    const place = getRolloutPlace(this.#maxElapsed, this.order.durationMs, this.#allowedExposure);
     if (place.newShare === 1) {
-      this.#allMovedAtMs ??= performance.now();
-      this.ledger.noteFullShare();
+      this.#fullShareSinceMs ??= performance.now();
+      this.stats.startFullShare();
     }
     return place;
   }
 
   /** A request that was to go to the new version found no upstream of it. */
-  noteMissing(): void {
-    this.#allMovedAtMs = undefined;
+  resetFullShare(): void {
+    this.#fullShareSinceMs = undefined;
   }
 
   /** Whether the new version has had all requests of this daemon for long enough to show what it is. */
-  get isSeen(): boolean {
-    const seenMs = performance.now() - (this.#allMovedAtMs ?? Infinity);
-    return seenMs >= SEEN_PART * this.order.durationMs;
+  get hasFullShareLongEnough(): boolean {
+    const seenMs = performance.now() - (this.#fullShareSinceMs ?? Infinity);
+    return seenMs >= MIN_FULL_SHARE_FRACTION * this.order.durationMs;
   }
 
   /** Answer counts of this daemon and its reachable peers. */
   get fleetCounts(): RolloutCounts {
     const peers = this.#findPeerCounts() ?? NO_ROLLOUT_COUNTS;
-    return combineRolloutCounts(peers, this.ledger, addVersionCounts);
+    return combineRolloutCounts(peers, this.stats, addVersionCounts);
   }
 
   /** Whether the answers show that the new version is good; always true for a service without answers. */
--- a/packages/forwarding/src/rollouts/sessionKeeping.test.ts
+++ b/packages/forwarding/src/rollouts/sessionAffinity.test.ts
@@ -8,7 +8,7 @@
 import type { RequestOptions, RolloutOrder } from '../types.js';
 import type { UpstreamEntry } from '../upstreams/index.js';
 import { RolloutGuide } from './rolloutGuide.js';
-import { createEntry } from './testSupport/modelDaemon.js';
+import { createEntry } from './testSupport/simulatedDaemon.js';
 
 const ORDER: RolloutOrder = { service: 's', toVersion: 'v2', durationMs: 20_000 };
 const ORDER_VERSION = 7;
@@ -75,17 +75,17 @@
 ): ReadonlyMap<string, string | undefined> =>
   new Map(
     SESSIONS.map((session) => {
-      const [entry] = guide.narrow('s', createOptions(session), entries);
+      const [entry] = guide.filterUpstreams('s', createOptions(session), entries);
       if (entry !== undefined) {
         const { softwareVersion } = entry.upstream;
-        guide.noteSessionRun({ service: 's', session, softwareVersion, request: session });
+        guide.recordSessionRun({ service: 's', session, softwareVersion, request: session });
       }
       return [session, entry?.upstream.softwareVersion];
     }),
   );
 
 /** Time passes, with the store heard all the while. */
-const pass = ({ clock, freshness }: Context, ms: number): void => {
+const advance = ({ clock, freshness }: Context, ms: number): void => {
   clock.tick(ms);
   freshness.confirm({ asked: readClocks(), serverTimeMs: performance.now() });
 };
@@ -98,33 +98,33 @@
 test('a session that began before the order moved at once', (context) => {
   const before = runAll(context.guide, [V1]);
   context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
-  pass(context, 500);
+  advance(context, 500);
   assert.equal(listMoved(before, runAll(context.guide, [V1, V2])), []);
 });
 
 test('a session moved when upstreams of the new version were listed', (context) => {
   context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
   const before = runAll(context.guide, [V1]);
-  pass(context, 1_000);
+  advance(context, 1_000);
   assert.equal(listMoved(before, runAll(context.guide, [V1, V2])), []);
 });
 
 test('a session moved there and back when upstreams of the new version were away for a moment', (context) => {
   context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
   const before = runAll(context.guide, [V1, V2]);
-  pass(context, 1_000);
+  advance(context, 1_000);
   const without = runAll(context.guide, [V1]);
   assert.equal(listMoved(before, without), []);
-  pass(context, 1_000);
+  advance(context, 1_000);
   assert.equal(listMoved(without, runAll(context.guide, [V1, V2])), []);
 });
 
 test('a session that ran on the version of the last order moved to that of the next at once', (context) => {
   context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
-  pass(context, ORDER.durationMs * 0.95);
+  advance(context, ORDER.durationMs * 0.95);
   const before = runAll(context.guide, [V1, V2]);
   context.guide.takeOrder({ ...ORDER, toVersion: 'v3' }, ORDER_VERSION + 1, 0);
-  pass(context, 500);
+  advance(context, 500);
   assert.equal(listMoved(before, runAll(context.guide, [V2, V3])), []);
 });
 
@@ -148,17 +148,17 @@
   context.guide.takeOrder(ORDER, ORDER_VERSION, learnedLateMs);
   const first = runAll(context.guide, [V1, V2]);
   for (let passedMs = 0; passedMs < HALF_MS - 2_000; passedMs += 2_000) {
-    pass(context, 2_000);
+    advance(context, 2_000);
     assert.equal(listMoved(first, runAll(context.guide, [V1, V2])), [], `after ${passedMs} ms`);
   }
 });
 
 test('sessions went back to the old version while the upstreams of the new one were evacuated', (context) => {
   context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
-  pass(context, ORDER.durationMs * 0.7);
+  advance(context, ORDER.durationMs * 0.7);
   const before = runAll(context.guide, [V1, V2]);
   context.evacuatedVersions.add('v2');
-  pass(context, 1_000);
+  advance(context, 1_000);
   const during = runAll(context.guide, [V1]);
   assert.ok([...during.values()].every((version) => version === undefined));
   const [session = ''] = SESSIONS;
@@ -170,10 +170,10 @@
 
 test('requests of expired sessions were refused while the upstreams of the new version were evacuated', (context) => {
   context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
-  pass(context, ORDER.durationMs * 0.7);
+  advance(context, ORDER.durationMs * 0.7);
   runAll(context.guide, [V1, V2]);
   context.evacuatedVersions.add('v2');
-  pass(context, SESSION_TTL_MS);
+  advance(context, SESSION_TTL_MS);
   const after = runAll(context.guide, [V1]);
   assert.ok([...after.values()].every((version) => version === 'v1'));
 });
@@ -181,7 +181,7 @@
 test('a daemon whose time of day jumped sent sessions back', (context) => {
   context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
   context.other.takeOrder(ORDER, ORDER_VERSION, 0);
-  pass(context, ORDER.durationMs * 0.7);
+  advance(context, ORDER.durationMs * 0.7);
   const before = runAll(context.guide, [V1, V2]);
   runAll(context.other, [V1, V2]);
   context.clock.setSystemTime(Date.now() + 20_000);
--- a/packages/forwarding/src/rollouts/sessionSearch.test.ts
+++ b/packages/forwarding/src/rollouts/sessionMoves.test.ts
@@ -6,10 +6,10 @@
 import type { RolloutOrder } from '../types.js';
 import {
   createEntry,
-  ModelDaemon,
+  SimulatedDaemon,
   readStoreMs,
   SESSION_TTL_MS,
-} from './testSupport/modelDaemon.js';
+} from './testSupport/simulatedDaemon.js';
 import type { RolloutStatus } from './types.js';
 
 const ORDER: RolloutOrder = { service: 's', toVersion: 'v2', durationMs: 16_000 };
@@ -24,10 +24,10 @@
 const MAX_STORE_DELAY_MS = 8;
 
 /** Within this all daemons in touch know an order, and its status row. */
-const KNOWN_MS = 2_000;
+const PROPAGATION_MS = 2_000;
 
 /** A daemon that has not heard the store for this long is out of touch, and moves nothing. */
-const CONTACT_MS = 3_000;
+const MAX_STORE_AGE_MS = 3_000;
 
 const V1 = createEntry('v1');
 const V2 = createEntry('v2');
@@ -83,7 +83,7 @@
 const planArbitrary = fc.record({
   /** When each daemon learns of the order, and how old it may be by then as it knows. */
   learning: fc.array(
-    fc.record({ afterMs: fc.nat({ max: KNOWN_MS }), moreMs: fc.nat({ max: 6_000 }) }),
+    fc.record({ afterMs: fc.nat({ max: PROPAGATION_MS }), moreMs: fc.nat({ max: 6_000 }) }),
     { minLength: DAEMONS, maxLength: DAEMONS },
   ),
   orderAfterMs: fc.nat({ max: 3_000 }),
@@ -98,22 +98,25 @@
 
 type Plan = typeof planArbitrary extends fc.Arbitrary<infer Value> ? Value : never;
 
-interface Sighting {
+interface ObservedRun {
   readonly version: string;
   readonly atMs: number;
 }
 
 /** Plays one plan and judges each request as it runs. */
-class Play {
+class PlanRunner {
   readonly #plan: Plan;
 
   readonly #clock: FakeTimers.Clock;
 
-  readonly #daemons = Array.from({ length: DAEMONS }, (_, index) => new ModelDaemon(`vm-${index}`));
+  readonly #daemons = Array.from(
+    { length: DAEMONS },
+    (_, index) => new SimulatedDaemon(`vm-${index}`),
+  );
 
   readonly #listsNew = Array.from({ length: DAEMONS }, () => true);
 
-  readonly #last = new Map<number, Sighting>();
+  readonly #last = new Map<number, ObservedRun>();
 
   readonly #orderedAtMs: number;
 
@@ -129,8 +132,8 @@
 
   run(): void {
     for (const { gapMs, step } of this.#plan.steps) {
-      this.#pass(gapMs);
-      this.#take(step);
+      this.#advance(gapMs);
+      this.#applyStep(step);
     }
   }
 
@@ -138,7 +141,7 @@
     return performance.now() - this.#orderedAtMs;
   }
 
-  #pass(gapMs: number): void {
+  #advance(gapMs: number): void {
     this.#clock.tick(gapMs);
     this.#plan.learning.forEach(({ afterMs, moreMs }, index) => {
       if (this.#elapsedMs >= afterMs && !this.#learned.has(index)) {
@@ -146,7 +149,7 @@
         this.#daemons[index]?.learnOrder(ORDER, ORDER_VERSION, this.#elapsedMs + moreMs);
       }
     });
-    if (this.#elapsedMs >= KNOWN_MS && this.#status === undefined) {
+    if (this.#elapsedMs >= PROPAGATION_MS && this.#status === undefined) {
       this.#writeStatus();
       this.#daemons.forEach((daemon) => daemon.learnStatus(this.#status, 9));
     }
@@ -154,7 +157,7 @@
 
   #writeStatus(): void {
     const [writer] = this.#daemons;
-    writer?.hearStore(MAX_STORE_DELAY_MS);
+    writer?.confirmStore(MAX_STORE_DELAY_MS);
     const [rollout] = writer?.guide.rollouts ?? [];
     const start = rollout?.storedStart;
     assert.ok(start !== undefined);
@@ -168,7 +171,7 @@
     };
   }
 
-  #take(step: Step): void {
+  #applyStep(step: Step): void {
     const handlers = {
       request: (one: Step & { kind: 'request' }) => this.#request(one.daemon, one.session),
       restart: (one: Step & { kind: 'restart' }) => this.#restart(one.daemon, one.delayMs),
@@ -176,7 +179,7 @@
         this.#listsNew[one.daemon] = !this.#listsNew[one.daemon];
       },
       jump: (one: Step & { kind: 'jump' }) => this.#clock.setSystemTime(Date.now() + one.byMs),
-      hear: (one: Step & { kind: 'hear' }) => this.#daemons[one.daemon]?.hearStore(one.delayMs),
+      hear: (one: Step & { kind: 'hear' }) => this.#daemons[one.daemon]?.confirmStore(one.delayMs),
     };
     handlers[step.kind](step as never);
   }
@@ -185,7 +188,7 @@
   #restart(index: number, delayMs: number): void {
     const daemon = this.#daemons[index];
     daemon?.restart();
-    daemon?.hearStore(delayMs);
+    daemon?.confirmStore(delayMs);
     if (this.#elapsedMs >= 0) {
       this.#learned.add(index);
       daemon?.learnOrder(ORDER, ORDER_VERSION, undefined);
@@ -193,9 +196,9 @@
     daemon?.learnStatus(this.#status, 9);
   }
 
-  #isInTouch(index: number): boolean {
-    const standing = this.#daemons[index]?.guide.findStanding('s');
-    return (standing?.storeAgeMs ?? 0) < CONTACT_MS;
+  #isStoreFresh(index: number): boolean {
+    const standing = this.#daemons[index]?.guide.findProgress('s');
+    return (standing?.storeAgeMs ?? 0) < MAX_STORE_AGE_MS;
   }
 
   #request(index: number, session: number): void {
@@ -216,7 +219,7 @@
     }
     const isEarly = version === 'v2' && this.#elapsedMs < ORDER.durationMs / 2;
     // Where no upstream of the new version is listed the session has nowhere else to go.
-    const isBack = version === 'v1' && this.#listsNew[index] === true && this.#isInTouch(index);
+    const isBack = version === 'v1' && this.#listsNew[index] === true && this.#isStoreFresh(index);
     const when = `${Math.round(this.#elapsedMs)} ms after the order`;
     assert.not(isEarly, `session ${session} moved early, ${when}`);
     assert.not(isBack, `session ${session} moved back at daemon ${index}, ${when}`);
@@ -228,7 +231,7 @@
     fc.property(planArbitrary, (plan) => {
       const clock = FakeTimers.install({ now: 1_700_000_000_000 });
       try {
-        new Play(plan, clock).run();
+        new PlanRunner(plan, clock).run();
       } finally {
         clock.uninstall();
       }
--- a/packages/forwarding/src/rollouts/sessionVersions.test.ts
+++ b/packages/forwarding/src/rollouts/sessionVersions.test.ts
@@ -10,22 +10,22 @@
 test('a session that ran on another version has moved, and not once it is over', () => {
   const clock = install();
   const versions = new SessionVersions(TTL_MS);
-  assert.is(versions.note(SESSION, 'v1'), undefined);
+  assert.is(versions.recordRun(SESSION, 'v1'), undefined);
   clock.tick(4_000);
-  assert.is(versions.note(SESSION, 'v1'), undefined);
+  assert.is(versions.recordRun(SESSION, 'v1'), undefined);
   clock.tick(4_000);
-  const move = versions.note(SESSION, 'v2');
+  const move = versions.recordRun(SESSION, 'v2');
   assert.equal(move, { ...SESSION, from: 'v1', to: 'v2', sinceMs: 4_000 });
   clock.tick(TTL_MS);
   assert.is(versions.find(SESSION), undefined);
-  assert.is(versions.note(SESSION, 'v1'), undefined);
+  assert.is(versions.recordRun(SESSION, 'v1'), undefined);
   clock.uninstall();
 });
 
 test('a session runs on versions of several services', () => {
   const versions = new SessionVersions(TTL_MS);
-  versions.note(SESSION, 'v1');
-  assert.is(versions.note({ ...SESSION, service: 'other' }, 'v2'), undefined);
+  versions.recordRun(SESSION, 'v1');
+  assert.is(versions.recordRun({ ...SESSION, service: 'other' }, 'v2'), undefined);
   assert.is(versions.find(SESSION)?.softwareVersion, 'v1');
 });
 
--- a/packages/forwarding/src/rollouts/sessionVersions.ts
+++ b/packages/forwarding/src/rollouts/sessionVersions.ts
@@ -45,7 +45,7 @@
   }
 
   /** To be noted when an answer begins and when it ends. Returns the move, if it is one. */
-  note(session: SessionOfService, softwareVersion: string): SessionMove | undefined {
+  recordRun(session: SessionOfService, softwareVersion: string): SessionMove | undefined {
     const last = this.find(session);
     const nowMs = performance.now();
     const key = getKey(session);
--- a/packages/forwarding/src/rollouts/testSupport/modelDaemon.ts
+++ b/packages/forwarding/src/rollouts/testSupport/simulatedDaemon.ts
@@ -30,7 +30,7 @@
     new PeerLoads(),
   );
 
-export class ModelDaemon {
+export class SimulatedDaemon {
   readonly #vm: string;
 
   #guide: RolloutGuide;
@@ -54,7 +54,7 @@
   }
 
   /** The store answered after `delayMs`. */
-  hearStore(delayMs: number): void {
+  confirmStore(delayMs: number): void {
     const asked = readClocks();
     const askedMs = asked.steadyMs - delayMs;
     this.#clock.noteAnswer(askedMs, readStoreMs());
@@ -84,10 +84,10 @@
       maxOutputTokens: 0,
       promptParts: [],
     };
-    const [entry] = this.#guide.narrow('s', options, listed);
+    const [entry] = this.#guide.filterUpstreams('s', options, listed);
     const softwareVersion = entry?.upstream.softwareVersion;
     if (softwareVersion !== undefined) {
-      this.#guide.noteSessionRun({ service: 's', session, softwareVersion, request: session });
+      this.#guide.recordSessionRun({ service: 's', session, softwareVersion, request: session });
     }
     return softwareVersion;
   }
@@ -107,7 +107,7 @@
       countUpstreams: () => new Map([['a', 1]]),
       hasEvacuatedUpstreams: () => false,
     });
-    this.hearStore(1);
+    this.confirmStore(1);
     return guide;
   }
 }
--- a/packages/forwarding/src/rollouts/types.ts
+++ b/packages/forwarding/src/rollouts/types.ts
@@ -23,7 +23,7 @@
 export type RolloutStage = SchedulePhase | Exclude<RolloutState, 'running'> | 'none';
 
 /** Where a roll-out stands as one daemon believes, and on what that rests. */
-export interface RolloutStanding {
+export interface RolloutProgress {
   readonly orderVersion: number;
   readonly toVersion: string;
   readonly stage: RolloutStage;
@@ -37,7 +37,7 @@
 }
 
 /** An upstream runs a request of a session. */
-export interface SessionAnswer {
+export interface SessionRunReport {
   readonly service: string;
   readonly session: string;
   readonly softwareVersion: string;
@@ -65,7 +65,7 @@
 }
 
 /** What came of an answer so far, from its begin on. */
-export interface AnswerBody {
+export interface BodyProgress {
   readonly bytes: number;
   readonly tookMs: number;
 }
--- a/packages/forwarding/src/rollouts/versionLedger.test.ts
+++ b/packages/forwarding/src/rollouts/versionStats.test.ts
@@ -2,9 +2,9 @@
 import { isVersionBad } from '@snipehaven/policy';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { VersionLedger, type VersionRole } from './versionLedger.js';
+import { VersionStats, type VersionRole } from './versionStats.js';
 
-const USUAL_MS = 100;
+const BASELINE_MS = 100;
 const SLOW_MS = 1_060;
 
 const createAnswer = (headMs: number, isFailed = false) => ({
@@ -16,40 +16,40 @@
   headMs,
 });
 
-/** A ledger after a calm minute. */
-const createLedger = (): VersionLedger => {
-  const ledger = new VersionLedger();
+/** A stats after a calm minute. */
+const createStats = (): VersionStats => {
+  const stats = new VersionStats();
   const countMany = (role: VersionRole, count: number): void => {
     for (let index = 0; index < count; index += 1) {
-      ledger.count(role, createAnswer(USUAL_MS));
+      stats.count(role, createAnswer(BASELINE_MS));
     }
   };
   countMany('present', 47);
   countMany('candidate', 14);
-  return ledger;
+  return stats;
 };
 
-const isBad = ({ candidate, present }: VersionLedger): boolean => isVersionBad(candidate, present);
+const isBad = ({ candidate, present }: VersionStats): boolean => isVersionBad(candidate, present);
 
 // Symptom: a good version is rolled back. Sequence: a prompt of 50,000 tokens is read at one of its
 // upstreams, and three answers behind it come after a second. Cause: each of them counted like a failure.
 test('answers behind one long prompt do not condemn a version', () => {
-  const ledger = createLedger();
+  const stats = createStats();
   for (let index = 0; index < 3; index += 1) {
-    assert.ok(ledger.count('candidate', createAnswer(SLOW_MS)), 'each is told');
+    assert.ok(stats.count('candidate', createAnswer(SLOW_MS)), 'each is told');
   }
-  assert.not(isBad(ledger));
+  assert.not(isBad(stats));
 });
 
 test('a version that goes on being slow, and one that fails three times, are bad', () => {
-  const slow = createLedger();
+  const slow = createStats();
   for (let index = 0; index < 6; index += 1) {
     slow.count('candidate', createAnswer(SLOW_MS));
   }
   assert.ok(isBad(slow));
-  const failing = createLedger();
+  const failing = createStats();
   for (let index = 0; index < 3; index += 1) {
-    failing.count('candidate', createAnswer(USUAL_MS, true));
+    failing.count('candidate', createAnswer(BASELINE_MS, true));
   }
   assert.ok(isBad(failing));
 });
--- a/packages/forwarding/src/rollouts/versionLedger.ts
+++ b/packages/forwarding/src/rollouts/versionStats.ts
@@ -21,18 +21,18 @@
 
 export type VersionRole = 'candidate' | 'present';
 
-const fade = (counts: VersionCounts): VersionCounts =>
+const decay = (counts: VersionCounts): VersionCounts =>
   counts.answers < MAX_ANSWERS ? counts : { answers: counts.answers / 2, bad: counts.bad / 2 };
 
-const fadeAndAdd = (known: VersionCounts, counts: VersionCounts): VersionCounts =>
-  addVersionCounts(counts.answers > 0 ? fade(known) : known, counts);
+const decayAndAdd = (known: VersionCounts, counts: VersionCounts): VersionCounts =>
+  addVersionCounts(counts.answers > 0 ? decay(known) : known, counts);
 
-const learn = (usual: Map<string, number>, workKind: string, seen: number): void => {
-  const before = usual.get(workKind) ?? seen;
-  usual.set(workKind, before + (seen - before) * TIME_SMOOTHING);
+const updateAverage = (averages: Map<string, number>, workKind: string, seen: number): void => {
+  const before = averages.get(workKind) ?? seen;
+  averages.set(workKind, before + (seen - before) * TIME_SMOOTHING);
 };
 
-export class VersionLedger {
+export class VersionStats {
   readonly #counts: Record<VersionRole, VersionCounts> = {
     candidate: NO_ANSWERS,
     present: NO_ANSWERS,
@@ -44,10 +44,10 @@
   #isAtFullShare = false;
 
   /** Until an answer begins, by kind of work. */
-  readonly #usualMs = new Map<string, number>();
+  readonly #baselineMs = new Map<string, number>();
 
   /** For each byte of an answer from then on, by kind of work. */
-  readonly #usualMsPerByte = new Map<string, number>();
+  readonly #baselineMsPerByte = new Map<string, number>();
 
   get candidate(): VersionCounts {
     return this.#counts.candidate;
@@ -63,20 +63,20 @@
   }
 
   /** Marks that all requests are directed to the candidate from now on. */
-  noteFullShare(): void {
+  startFullShare(): void {
     this.#isAtFullShare = true;
   }
 
   /** An answer that takes longer is slow; Infinity before the old version has answered. */
   getSlowMs(workKind: string): number {
-    const usualMs = this.#usualMs.get(workKind) ?? Infinity;
-    return usualMs * SLOW_FACTOR + SLOW_SLACK_MS;
+    const baselineMs = this.#baselineMs.get(workKind) ?? Infinity;
+    return baselineMs * SLOW_FACTOR + SLOW_SLACK_MS;
   }
 
   /** How long so many bytes may take after the answer has begun; Infinity as above. */
   getSlowBodyMs(workKind: string, bytes: number): number {
-    const usualMs = (this.#usualMsPerByte.get(workKind) ?? Infinity) * bytes;
-    return usualMs * SLOW_FACTOR + SLOW_SLACK_MS;
+    const baselineMs = (this.#baselineMsPerByte.get(workKind) ?? Infinity) * bytes;
+    return baselineMs * SLOW_FACTOR + SLOW_SLACK_MS;
   }
 
   /** An answer that was counted goes on too slowly. */
@@ -85,30 +85,30 @@
   }
 
   /** Of a whole answer of the old version. */
-  learnBody(workKind: string, msPerByte: number): void {
-    learn(this.#usualMsPerByte, workKind, msPerByte);
+  recordBodyRate(workKind: string, msPerByte: number): void {
+    updateAverage(this.#baselineMsPerByte, workKind, msPerByte);
   }
 
   /** True when the answer was bad. */
   count(role: VersionRole, answer: RolloutAnswer): boolean {
-    const weight = this.#weigh(answer);
+    const weight = this.#getBadWeight(answer);
     this.#add(role, answer.dataCentre, { answers: 1, bad: weight });
     if (role === 'present' && answer.headMs !== undefined) {
-      learn(this.#usualMs, answer.workKind, answer.headMs);
+      updateAverage(this.#baselineMs, answer.workKind, answer.headMs);
     }
     return weight > 0;
   }
 
   #add(role: VersionRole, dataCentre: string, counts: VersionCounts): void {
-    this.#counts[role] = fadeAndAdd(this.#counts[role], counts);
+    this.#counts[role] = decayAndAdd(this.#counts[role], counts);
     if (role === 'candidate' && this.#isAtFullShare) {
       const known = this.#candidateAtFullShare.get(dataCentre) ?? NO_ANSWERS;
-      this.#candidateAtFullShare.set(dataCentre, fadeAndAdd(known, counts));
+      this.#candidateAtFullShare.set(dataCentre, decayAndAdd(known, counts));
     }
   }
 
   /** How bad it is, from 0 to 1. */
-  #weigh(answer: RolloutAnswer): number {
+  #getBadWeight(answer: RolloutAnswer): number {
     if (answer.isFailed) {
       return 1;
     }
--- a/packages/forwarding/src/runs/attempt.ts
+++ b/packages/forwarding/src/runs/attempt.ts
@@ -8,21 +8,21 @@
 } from '../constants.js';
 import {
   Exchange,
-  type AnswerHead,
+  type ResponseHead,
   type ExchangeFailure,
   type ExchangeListener,
 } from '../exchange/index.js';
 import type { ForwardRoute, UpstreamHeaderValues } from '../types.js';
 import type {
-  EndVerdict,
+  ExitVerdict,
   SentRequest,
   UpstreamEntry,
   UpstreamOutcome,
 } from '../upstreams/index.js';
 import type { CallerRequest } from './callerRequest.js';
-import { ALIVE_MS } from './constants.js';
+import { RECENT_ACTIVITY_MS } from './constants.js';
 import type { ForwardDependencies } from './dependencies.js';
-import { VersionReport } from './versionReport.js';
+import { VersionReporter } from './versionReporter.js';
 
 export interface AttemptPlan {
   readonly entry: UpstreamEntry;
@@ -51,7 +51,7 @@
 
 const LOWEST_ENGINE_PRIORITY = 9;
 
-const getStartSilenceMs = ({ kind, targetLatencyMs }: ForwardRoute): number =>
+const getInitialSilenceMs = ({ kind, targetLatencyMs }: ForwardRoute): number =>
   kind === 'stream'
     ? targetLatencyMs * STREAM_START_TARGETS
     : Math.max(MIN_SILENCE_MS, targetLatencyMs * SILENCE_TARGETS);
@@ -67,17 +67,17 @@
 
   readonly #exchange: Exchange;
 
-  readonly #report: VersionReport;
+  readonly #reporter: VersionReporter;
 
   #silenceTimer: NodeJS.Timeout | undefined;
 
-  #heardAtMs = performance.now();
+  #lastHeardAtMs = performance.now();
 
   #startedAtMs = performance.now();
 
   #beganAtMs: number | undefined;
 
-  #fate: Promise<EndVerdict> = Promise.resolve('unknown');
+  #exitVerdict: Promise<ExitVerdict> = Promise.resolve('unknown');
 
   #headMs: number | undefined;
 
@@ -103,8 +103,8 @@
     this.#request = request;
     this.#listener = listener;
     this.#plan = plan;
-    this.#report = new VersionReport(dependencies, request, plan);
-    this.#silenceMs = getStartSilenceMs(plan.route);
+    this.#reporter = new VersionReporter(dependencies, request, plan);
+    this.#silenceMs = getInitialSilenceMs(plan.route);
     this.#exchange = new Exchange(
       plan.entry.pool,
       {
@@ -157,31 +157,31 @@
     this.#isLoadCounted = true;
     this.#startedAtMs = performance.now();
     this.#countedWork = this.#plan.startWork + this.#plan.runWork;
-    this.#plan.entry.begin(this.#countedWork);
-    this.#plan.entry.endWatch.enter(this);
+    this.#plan.entry.startRequest(this.#countedWork);
+    this.#plan.entry.exitDetector.addRequest(this);
     this.#mayHaveRun = true;
     this.#dependencies.notePlaced(this.#countedWork);
-    this.#armSilence();
-    this.#report.noteSent();
+    this.#armSilenceTimer();
+    this.#reporter.onSent();
     this.#exchange.start();
   }
 
   pause(): void {
-    this.#report.ignorePace();
+    this.#reporter.excludeThroughput();
     clearTimeout(this.#silenceTimer);
     this.#exchange.pause();
   }
 
   /** The caller reads again; the upstream could not be heard meanwhile. */
   resume(): void {
-    this.#heardAtMs = performance.now();
-    this.#armSilence();
+    this.#lastHeardAtMs = performance.now();
+    this.#armSilenceTimer();
     this.#exchange.resume();
   }
 
   /** What the upstream did to a request that was lost there. */
-  get fate(): Promise<EndVerdict> {
-    return this.#fate;
+  get exitVerdict(): Promise<ExitVerdict> {
+    return this.#exitVerdict;
   }
 
   onHeld(): void {
@@ -191,9 +191,9 @@
   }
 
   /** Notes how the upstream did. */
-  settle(outcome: UpstreamOutcome): void {
-    this.#plan.entry.noteOutcome(outcome, performance.now());
-    this.#report.tell(outcome);
+  recordOutcome(outcome: UpstreamOutcome): void {
+    this.#plan.entry.recordOutcome(outcome, performance.now());
+    this.#reporter.reportOutcome(outcome);
   }
 
   /** Lets the exchange end by itself; its bytes are of no more use. */
@@ -205,7 +205,7 @@
   /** Ends the work at the upstream. */
   abort(): void {
     this.detach();
-    this.#uncount();
+    this.#releaseLoad();
     this.#exchange.abort();
   }
 
@@ -224,14 +224,14 @@
     };
   }
 
-  #onHead(head: AnswerHead): void {
-    this.#report.noteBegun();
-    this.#hear();
+  #onHead(head: ResponseHead): void {
+    this.#reporter.onResponseStart();
+    this.#recordActivity();
     this.#beganAtMs = performance.now();
     this.#mayHaveRun = !head.facts.isNotRun;
     if (this.#mayHaveRun) {
-      this.#plan.entry.endWatch.noteServed(this);
-      this.#report.noteSession();
+      this.#plan.entry.exitDetector.onResponseStarted(this);
+      this.#reporter.recordSessionRun();
     }
     const { service, workAhead, isResumed } = this.#plan;
     const tookMs = performance.now() - this.#startedAtMs;
@@ -240,7 +240,7 @@
       this.#dependencies.getWorkPace(service).note(workAhead, tookMs);
     }
     if (this.#isLoadCounted) {
-      this.#plan.entry.reduce(this.#plan.startWork);
+      this.#plan.entry.reduceWork(this.#plan.startWork);
       this.#countedWork = this.#plan.runWork;
     }
     if (this.#isListening) {
@@ -249,8 +249,8 @@
   }
 
   #onData(bytes: Buffer): void {
-    this.#hear();
-    this.#report.noteBytes(bytes.length);
+    this.#recordActivity();
+    this.#reporter.onBytes(bytes.length);
     this.#silenceMs =
       this.#plan.route.kind === 'stream'
         ? this.#plan.route.targetGapMs * STREAM_SILENCE_GAPS
@@ -261,8 +261,8 @@
   }
 
   #onEnd(): void {
-    this.#report.noteWhole();
-    this.#uncount();
+    this.#reporter.onResponseComplete();
+    this.#releaseLoad();
     clearTimeout(this.#silenceTimer);
     if (this.#isListening) {
       this.#isListening = false;
@@ -272,14 +272,14 @@
 
   #onFailure(failure: ExchangeFailure): void {
     this.#mayHaveRun &&= failure.verdict !== 'notSent';
-    this.#uncount();
+    this.#releaseLoad();
     clearTimeout(this.#silenceTimer);
     if (this.#isListening) {
       this.#isListening = false;
       if (failure.verdict === 'notSent') {
-        this.settle('unreachable');
+        this.recordOutcome('unreachable');
       } else {
-        this.#fate = this.#plan.entry.endWatch.noteLoss(this);
+        this.#exitVerdict = this.#plan.entry.exitDetector.onConnectionLost(this);
         void this.#settleLoss();
       }
       this.#listener.onFailure(failure);
@@ -288,52 +288,52 @@
 
   /** An upstream that ended says nothing of its version with each request that it took with it. */
   async #settleLoss(): Promise<void> {
-    this.#plan.entry.noteOutcome('failed', performance.now());
-    if ((await this.#fate) !== 'ended') {
-      this.#report.tell('failed');
+    this.#plan.entry.recordOutcome('failed', performance.now());
+    if ((await this.#exitVerdict) !== 'ended') {
+      this.#reporter.reportOutcome('failed');
     }
   }
 
-  #hear(): void {
+  #recordActivity(): void {
     const nowMs = performance.now();
-    this.#heardAtMs = nowMs;
-    this.#plan.entry.noteBytes(nowMs);
+    this.#lastHeardAtMs = nowMs;
+    this.#plan.entry.recordActivity(nowMs);
   }
 
-  #armSilence(): void {
+  #armSilenceTimer(): void {
     clearTimeout(this.#silenceTimer);
-    const dueInMs = this.#heardAtMs + this.#silenceMs - performance.now();
+    const dueInMs = this.#lastHeardAtMs + this.#silenceMs - performance.now();
     this.#silenceTimer = setTimeout(() => this.#checkSilence(), Math.max(1, dueInMs));
   }
 
   #checkSilence(): void {
     const nowMs = performance.now();
-    const silentMs = nowMs - this.#heardAtMs;
+    const silentMs = nowMs - this.#lastHeardAtMs;
     if (silentMs < this.#silenceMs) {
-      this.#armSilence();
+      this.#armSilenceTimer();
       return;
     }
     // An engine that serves others keeps this request waiting; moving it would lose its place.
-    const isAlive = nowMs - this.#plan.entry.lastBytesAtMs < ALIVE_MS;
+    const isAlive = nowMs - this.#plan.entry.lastBytesAtMs < RECENT_ACTIVITY_MS;
     const isWaitingInLine =
       this.#plan.route.kind === 'stream' && isAlive && silentMs < this.#silenceMs * 2;
     if (isWaitingInLine) {
-      this.#silenceTimer = setTimeout(() => this.#checkSilence(), ALIVE_MS);
+      this.#silenceTimer = setTimeout(() => this.#checkSilence(), RECENT_ACTIVITY_MS);
       return;
     }
     if (this.#listener.onSilence(silentMs)) {
-      this.settle(isAlive ? 'failed' : 'unreachable');
+      this.recordOutcome(isAlive ? 'failed' : 'unreachable');
     }
   }
 
-  #uncount(): void {
-    this.#report.stopWaiting();
+  #releaseLoad(): void {
+    this.#reporter.clearSlowTimer();
     if (this.#isLoadCounted) {
       this.#isLoadCounted = false;
-      this.#plan.entry.finish(this.#countedWork);
-      this.#plan.entry.endWatch.leave(this);
+      this.#plan.entry.finishRequest(this.#countedWork);
+      this.#plan.entry.exitDetector.removeRequest(this);
       if (this.#mayHaveRun) {
-        this.#report.noteSession();
+        this.#reporter.recordSessionRun();
       }
     }
   }
--- a/packages/forwarding/src/runs/buildRefusal.ts
+++ b/packages/forwarding/src/runs/buildRefusal.ts
@@ -3,7 +3,7 @@
 import type { Refusal, RefusalReason } from './types.js';
 
 /** Usual times, said only where the request has not run. */
-const retryAfterS: Readonly<Partial<Record<RefusalReason, number>>> = {
+const defaultRetryAfterS: Readonly<Partial<Record<RefusalReason, number>>> = {
   notReady: NOT_READY_RETRY_AFTER_S,
   noUpstream: NOT_READY_RETRY_AFTER_S,
   upstreamsBusy: BUSY_RETRY_AFTER_S,
@@ -12,6 +12,6 @@
 
 /** `knownAfterS`: a time that is known better than the usual one. */
 export const buildRefusal = (reason: RefusalReason, knownAfterS?: number): Refusal => {
-  const after = knownAfterS ?? retryAfterS[reason];
+  const after = knownAfterS ?? defaultRetryAfterS[reason];
   return after === undefined ? { reason } : { reason, retryAfterS: after };
 };
--- a/packages/forwarding/src/runs/constants.ts
+++ b/packages/forwarding/src/runs/constants.ts
@@ -1,4 +1,4 @@
 /** Times of runs. */
 
 /** An upstream that sent bytes on any connection this recently is alive; a request may just wait there. */
-export const ALIVE_MS = 700;
+export const RECENT_ACTIVITY_MS = 700;
--- a/packages/forwarding/src/runs/describePlace.ts
+++ b/packages/forwarding/src/runs/describePlacement.ts
@@ -1,15 +1,15 @@
 /** For the log: where a request was sent, and what was believed then. */
 import type { ForwardDependencies } from './dependencies.js';
-import type { Place } from './findPlace.js';
-import type { PlaceQuestion } from './placeQuestion.js';
-import { roundMs } from './punctuality.js';
+import type { Placement } from './findPlacement.js';
+import type { PlacementQuery } from './placementQuery.js';
+import { roundMs } from './responseTiming.js';
 
-export const describePlace = (
+export const describePlacement = (
   { configuration, getWorkPace, rollouts }: ForwardDependencies,
-  { entry, startWork, workAhead }: Place,
-  { service, options, model }: PlaceQuestion,
+  { entry, startWork, workAhead }: Placement,
+  { service, options, model }: PlacementQuery,
 ) => {
-  const ran = rollouts.findSessionRun(service, options);
+  const lastRun = rollouts.findSessionRun(service, options);
   return {
     upstream: entry.id,
     backlog: Math.round(entry.backlog),
@@ -19,9 +19,9 @@
     expectedMs: roundMs(getWorkPace(service).estimateStartMs(workAhead)),
     version: entry.upstream.softwareVersion,
     session: options.session,
-    sessionRanOn: ran?.softwareVersion,
-    sessionRanAgoMs: ran && Math.round(performance.now() - ran.atMs),
-    rollout: rollouts.findStanding(service),
+    sessionRanOn: lastRun?.softwareVersion,
+    sessionRanAgoMs: lastRun && Math.round(performance.now() - lastRun.atMs),
+    rollout: rollouts.findProgress(service),
     model,
     promptTokens: options.promptTokens,
     maxOutputTokens: options.maxOutputTokens,
--- a/packages/forwarding/src/runs/estimateWork.ts
+++ b/packages/forwarding/src/runs/estimateWork.ts
@@ -24,7 +24,7 @@
 const PLAIN_WORK: Work = { own: 1, shared: 0, running: 1 };
 
 /** Cost per token stands for the time that a model takes, relative to the pool's dearest one. */
-const getModelShare = (service: ServicePool, model: string | undefined): number => {
+const getRelativeModelCost = (service: ServicePool, model: string | undefined): number => {
   const models = service.engine?.models ?? [];
   const largest = Math.max(...models.map(({ costPer1000Tokens }) => costPer1000Tokens));
   const own = models.find(({ name }) => name === model);
@@ -40,7 +40,7 @@
   if (route.kind !== 'stream' || service?.engine === undefined) {
     return PLAIN_WORK;
   }
-  const share = getModelShare(service, model);
+  const share = getRelativeModelCost(service, model);
   const sharedTokens = options.promptParts.slice(0, -1).reduce((sum, part) => sum + part.tokens, 0);
   const ownTokens = Math.max(0, options.promptTokens - sharedTokens);
   return {
--- a/packages/forwarding/src/runs/eventSplitter.ts
+++ b/packages/forwarding/src/runs/eventSplitter.ts
@@ -7,14 +7,14 @@
 const CARRIAGE_RETURN = 0x0d;
 const ID_FIELD = Buffer.from('id:');
 
-export interface WholeEvents {
+export interface CompleteEvents {
   readonly bytes: Buffer;
   /** The last numbered event among them. */
   readonly lastEventId?: number;
 }
 
 /** The index after the last blank line, 0 if there is none. */
-const findEndOfWholeEvents = (bytes: Buffer): number => {
+const findEndOfCompleteEvents = (bytes: Buffer): number => {
   for (let index = bytes.length - 1; index > 0; index -= 1) {
     if (bytes[index] === NEWLINE) {
       const before = bytes[index - 1];
@@ -48,9 +48,9 @@
   #partial: Buffer = Buffer.alloc(0);
 
   /** The whole events that the bytes complete. */
-  push(bytes: Buffer): WholeEvents {
+  push(bytes: Buffer): CompleteEvents {
     const all = this.#partial.length > 0 ? Buffer.concat([this.#partial, bytes]) : bytes;
-    const end = findEndOfWholeEvents(all);
+    const end = findEndOfCompleteEvents(all);
     this.#partial = all.subarray(end);
     const whole = all.subarray(0, end);
     const lastEventId = findLastId(whole);
--- a/packages/forwarding/src/runs/findLargerModel.ts
+++ b/packages/forwarding/src/runs/findLargerModel.ts
@@ -2,7 +2,7 @@
 import { chooseNextModel, isAlwaysSure } from '@snipehaven/policy';
 import type { CallerRequest } from './callerRequest.js';
 import type { ForwardDependencies } from './dependencies.js';
-import { findPlace } from './findPlace.js';
+import { findPlacement } from './findPlacement.js';
 import type { ResolvedRequest } from './resolveRequest.js';
 
 interface StartEstimate {
@@ -15,7 +15,7 @@
   readonly model: string;
 }
 
-export interface UnsureAnswer {
+export interface EscalationInput {
   readonly request: CallerRequest;
   readonly resolved: ResolvedRequest;
   readonly service: string;
@@ -29,28 +29,32 @@
 /** What waits at the best upstream for the largest model, and when an answer of it would begin there. */
 const estimateStart = (
   dependencies: ForwardDependencies,
-  { request: { options }, resolved: { route }, service, usedUpstreams }: UnsureAnswer,
+  { request: { options }, resolved: { route }, service, usedUpstreams }: EscalationInput,
 ): StartEstimate => {
-  const question = { service, route, options, model: route.models.at(-1), usedUpstreams };
-  const place = findPlace(dependencies, question);
+  const query = { service, route, options, model: route.models.at(-1), usedUpstreams };
+  const placement = findPlacement(dependencies, query);
   const pace = dependencies.getWorkPace(service);
-  return place === undefined
+  return placement === undefined
     ? { waitMs: Infinity, meanWaitMs: Infinity, expectedStartMs: Infinity }
     : {
-        waitMs: pace.estimateMs(place.entry.backlog),
-        meanWaitMs: pace.estimateMs(place.meanBacklog),
-        expectedStartMs: pace.estimateStartMs(place.workAhead),
+        waitMs: pace.estimateMs(placement.entry.backlog),
+        meanWaitMs: pace.estimateMs(placement.meanBacklog),
+        expectedStartMs: pace.estimateStartMs(placement.workAhead),
       };
 };
 
-/** Undefined when the present answer is the one that the caller gets. */
+/** Undefined when the currentModel answer is the one that the caller gets. */
 export const findLargerModel = (
   dependencies: ForwardDependencies,
-  answer: UnsureAnswer,
+  answer: EscalationInput,
 ): LargerModel | undefined => {
-  const { request, resolved, model: present, confidence, canAttemptAgain } = answer;
+  const { request, resolved, model: currentModel, confidence, canAttemptAgain } = answer;
   const { route, team } = resolved;
-  if (present === undefined || present === route.models.at(-1) || confidence === undefined) {
+  if (
+    currentModel === undefined ||
+    currentModel === route.models.at(-1) ||
+    confidence === undefined
+  ) {
     return undefined;
   }
   const priority = team?.priority ?? route.priority;
@@ -67,7 +71,7 @@
       priority,
       canAttemptAgain,
     },
-    present,
+    currentModel,
   );
   return model === undefined ? undefined : { ...start, model };
 };
--- a/packages/forwarding/src/runs/findPlace.ts
+++ b/packages/forwarding/src/runs/findPlacement.ts
@@ -5,10 +5,14 @@
 import type { ForwardDependencies } from './dependencies.js';
 import { estimateWork } from './estimateWork.js';
 import { listCandidates } from './listCandidates.js';
-import type { PlaceQuestion } from './placeQuestion.js';
-import { getMeanBacklog, lookAroundEngine, lookAroundPlain } from './surroundings.js';
+import type { PlacementQuery } from './placementQuery.js';
+import {
+  getMeanBacklog,
+  getEnginePlacementCosts,
+  getPlainPlacementCosts,
+} from './placementCosts.js';
 
-export interface Place {
+export interface Placement {
   readonly entry: UpstreamEntry;
   /** Until the answer begins, and from then to its end; see `Work`. */
   readonly startWork: number;
@@ -35,13 +39,13 @@
 });
 
 /** The last part that other requests share, for the model that is to read it. */
-const getAffinityKey = ({ options, model }: PlaceQuestion): string | undefined => {
+const getAffinityKey = ({ options, model }: PlacementQuery): string | undefined => {
   const shared = options.promptParts.at(-2);
   return shared === undefined ? undefined : `${model ?? ''}|${shared.id}`;
 };
 
 /** Undefined where all upstreams are thought dead: then any may be tried, as for other requests. */
-const findSuspectEntry = (
+const findEntryForSuspectRequest = (
   digest: RequestDigest,
   entries: readonly UpstreamEntry[],
   nowMs: number,
@@ -54,23 +58,23 @@
   return sound.find(({ lifeId }) => lifeId === chosen);
 };
 
-export const findPlace = (
+export const findPlacement = (
   dependencies: ForwardDependencies,
-  question: PlaceQuestion,
-): Place | undefined => {
+  query: PlacementQuery,
+): Placement | undefined => {
   const { directory, random, configuration } = dependencies;
-  const { service, route, options, model } = question;
+  const { service, route, options, model } = query;
   const nowMs = performance.now();
-  const entries = listCandidates(dependencies, question, nowMs);
+  const entries = listCandidates(dependencies, query, nowMs);
   const meanBacklog = getMeanBacklog(entries);
   const pool = configuration.table?.findService(service);
   const work = estimateWork(route, pool, options, model);
   const isEngine = route.kind === 'stream' && pool?.engine !== undefined;
-  const affinityKey = getAffinityKey(question);
+  const affinityKey = getAffinityKey(query);
   const { getRemotePenalty, ...surroundings } = isEngine
-    ? lookAroundEngine(dependencies, question, { entries, meanBacklog })
-    : lookAroundPlain(dependencies);
-  const placed = choosePlace({
+    ? getEnginePlacementCosts(dependencies, query, { entries, meanBacklog })
+    : getPlainPlacementCosts(dependencies);
+  const choice = choosePlace({
     candidates: entries.map((entry) => toCandidate(entry, getRemotePenalty(entry), nowMs)),
     sharedWork: work.shared,
     ownWork: work.own,
@@ -78,15 +82,15 @@
     ...surroundings,
     ...(affinityKey === undefined ? {} : { affinityKey }),
   });
-  const own =
-    question.suspectDigest === undefined
+  const suspectEntry =
+    query.suspectDigest === undefined
       ? undefined
-      : findSuspectEntry(question.suspectDigest, entries, nowMs);
-  const entry = own ?? (placed && directory.find(placed.id));
-  if (placed === undefined || entry === undefined) {
+      : findEntryForSuspectRequest(query.suspectDigest, entries, nowMs);
+  const entry = suspectEntry ?? (choice && directory.find(choice.id));
+  if (choice === undefined || entry === undefined) {
     return undefined;
   }
-  const isOwner = placed.isOwner && entry.id === placed.id;
+  const isOwner = choice.isOwner && entry.id === choice.id;
   const startWork = work.own + (isOwner ? 0 : work.shared);
   return {
     entry,
--- a/packages/forwarding/src/runs/forwardRun.ts
+++ b/packages/forwarding/src/runs/forwardRun.ts
@@ -9,25 +9,25 @@
 } from '@snipehaven/policy';
 import { MIN_ATTEMPT_MS, MIN_RETRY_AFTER_S } from '../constants.js';
 import { digestRequest, type Hold } from '../crashes/index.js';
-import type { AnswerHead, ExchangeFailure } from '../exchange/index.js';
+import type { ResponseHead, ExchangeFailure } from '../exchange/index.js';
 import type { ForwardRoute } from '../types.js';
 import { Attempt, type AttemptListener } from './attempt.js';
 import type { ForwardDependencies } from './dependencies.js';
 import { buildRefusal } from './buildRefusal.js';
 import type { CallerRequest } from './callerRequest.js';
-import { describePlace } from './describePlace.js';
+import { describePlacement } from './describePlacement.js';
 import { findLargerModel, type LargerModel } from './findLargerModel.js';
-import { findPlace, type Place } from './findPlace.js';
+import { findPlacement, type Placement } from './findPlacement.js';
 import { findSessionExpiryWait, findWarmUpWait } from './listCandidates.js';
-import { tellAfterRun } from './refusals.js';
-import type { PlaceQuestion } from './placeQuestion.js';
-import { Punctuality, roundMs } from './punctuality.js';
-import { relayFactories, type AnswerRelay } from './relays.js';
+import { toReasonAfterRun } from './refusals.js';
+import type { PlacementQuery } from './placementQuery.js';
+import { ResponseTiming, roundMs } from './responseTiming.js';
+import { relayFactories, type ResponseRelay } from './relays.js';
 import { isRefused, resolveRequest, type ResolvedRequest } from './resolveRequest.js';
 import type { CallerPort, RefusalReason } from './types.js';
 
 /** The upstream's machine answers within a round trip; longer means that nobody will say. */
-const FATE_WAIT_MS = 100;
+const EXIT_PROBE_WAIT_MS = 100;
 
 const MS_PER_S = 1_000;
 
@@ -46,7 +46,7 @@
 
   readonly #port: CallerPort;
 
-  readonly #relay: AnswerRelay;
+  readonly #relay: ResponseRelay;
 
   readonly #deadlineAtMs: number;
 
@@ -63,18 +63,18 @@
   /** Of the model in the answer that the caller gets, 0 to 100. */
   #confidence: number | undefined;
 
-  readonly #punctuality: Punctuality;
+  readonly #timing: ResponseTiming;
 
   /** Of the answer that the caller gets. */
   #status: number | undefined;
 
-  #sent = 0;
+  #countedAttempts = 0;
 
-  #unsent = 0;
+  #uncountedAttempts = 0;
 
   #mayHaveRun = false;
 
-  #isOver = false;
+  #isFinished = false;
 
   #digest: RequestDigest | undefined;
 
@@ -90,12 +90,12 @@
     this.#port = port;
     const { route } = resolved;
     const { options, arrivedAtMs } = request;
-    this.#punctuality = new Punctuality(arrivedAtMs);
+    this.#timing = new ResponseTiming(arrivedAtMs);
     this.#relay = relayFactories[route.kind](port, dependencies.dialect, options.lastEventId);
     [this.#model] = route.models;
     const waitMs = Math.min(route.timeoutMs, options.deadlineMs ?? Infinity);
     this.#deadlineAtMs = arrivedAtMs + waitMs;
-    this.#deadlineTimer = setTimeout(() => this.#passDeadline(), this.#getRemainingMs());
+    this.#deadlineTimer = setTimeout(() => this.#onDeadline(), this.#getRemainingMs());
     port.onDrain(() => this.#attempt?.resume());
   }
 
@@ -105,7 +105,7 @@
   }
 
   start(): void {
-    if (this.#isOver) {
+    if (this.#isFinished) {
       return;
     }
     if (this.#hold !== undefined) {
@@ -119,56 +119,56 @@
 
   /** The caller closed its connection: nobody waits for the answer any more. */
   cancel(): void {
-    if (!this.#isOver) {
-      this.#log('callerGone', { attempts: this.#sent });
+    if (!this.#isFinished) {
+      this.#log('callerGone', { attempts: this.#countedAttempts });
       this.#finish('callerGone');
     }
   }
 
-  onHead(head: AnswerHead): void {
+  onHead(head: ResponseHead): void {
     const { isNotRun, isMisdirected } = head.facts;
     if (isNotRun) {
-      this.#attempt?.settle(isMisdirected ? 'unreachable' : 'refused');
-      this.#continueAfter(isMisdirected ? 'misdirected' : 'refused', `status ${head.status}`);
+      this.#attempt?.recordOutcome(isMisdirected ? 'unreachable' : 'refused');
+      this.#retryOrConclude(isMisdirected ? 'misdirected' : 'refused', `status ${head.status}`);
       return;
     }
     this.#mayHaveRun = true;
     if (!isSuccess(head.status)) {
-      this.#takeFailureHead(head);
+      this.#handleFailureHead(head);
       return;
     }
-    this.#takeSuccessHead(head);
+    this.#handleSuccessHead(head);
   }
 
   onData(bytes: Buffer): void {
-    this.#punctuality.note(performance.now());
-    if (!this.#relay.take(bytes)) {
+    this.#timing.recordBytes(performance.now());
+    if (!this.#relay.relay(bytes)) {
       this.#attempt?.pause();
     }
   }
 
   onEnd(): void {
     this.#relay.finish();
-    this.#noteAnswered();
+    this.#reportSuccess();
     this.#log('answered', {
       status: this.#status,
-      attempts: this.#sent,
+      attempts: this.#countedAttempts,
       model: this.#model,
       confidence: this.#confidence,
       upstreamMs: roundMs(this.#attempt?.headMs),
-      ...this.#punctuality.describe(this.#resolved.route),
+      ...this.#timing.describe(this.#resolved.route),
     });
     this.#finish('answered');
   }
 
   onFailure({ verdict, cause }: ExchangeFailure): void {
     if (verdict === 'notSent') {
-      this.#continueAfter('notSent', cause);
+      this.#retryOrConclude('notSent', cause);
       return;
     }
     this.#mayHaveRun = true;
-    this.#relay.interrupt();
-    void this.#continueAfterLoss(cause);
+    this.#relay.discardPending();
+    void this.#retryOrConcludeAfterLoss(cause);
   }
 
   /** Other daemons saw upstreams end under the same request. */
@@ -183,27 +183,27 @@
     if (!isRepeatable(this.#resolved.route) || !this.#canTryAgain('unknown')) {
       return false;
     }
-    if (!this.#takeRepeat('failure')) {
+    if (!this.#tryTakeRetryBudget('failure')) {
       return false;
     }
     this.#attempt?.abort();
     this.#mayHaveRun = true;
-    this.#relay.interrupt();
+    this.#relay.discardPending();
     this.#log('movedOnSilence', { silentMs: Math.round(silentMs) });
-    this.#sendAgain();
+    this.#resend();
     return true;
   }
 
-  #takeFailureHead(head: AnswerHead): void {
-    this.#attempt?.settle('failed');
+  #handleFailureHead(head: ResponseHead): void {
+    this.#attempt?.recordOutcome('failed');
     const canRepeat =
       isRepeatable(this.#resolved.route) &&
       this.#canTryAgain('failed') &&
-      this.#takeRepeat('failure');
+      this.#tryTakeRetryBudget('failure');
     if (canRepeat) {
       this.#attempt?.detach();
       this.#log('repeatedAfterFailure', { status: head.status });
-      this.#sendAgain();
+      this.#resend();
       return;
     }
     if (this.#relay.hasBegun) {
@@ -215,18 +215,18 @@
     this.#relay.begin(head);
   }
 
-  #takeSuccessHead(head: AnswerHead): void {
-    this.#attempt?.settle('answered');
-    const larger = this.#findLargerModel(head);
-    if (larger !== undefined && this.#takeRepeat('quality')) {
+  #handleSuccessHead(head: ResponseHead): void {
+    this.#attempt?.recordOutcome('answered');
+    const largerModel = this.#findLargerModel(head);
+    if (largerModel !== undefined && this.#tryTakeRetryBudget('quality')) {
       this.#attempt?.abort();
       this.#log('askedLargerModel', {
         confidence: head.facts.confidence,
         upstreamMs: roundMs(this.#attempt?.headMs),
-        ...larger,
+        ...largerModel,
       });
-      this.#model = larger.model;
-      this.#sendAgain();
+      this.#model = largerModel.model;
+      this.#resend();
       return;
     }
     this.#status = head.status;
@@ -234,7 +234,7 @@
     this.#relay.begin(head);
   }
 
-  #findLargerModel({ facts: { confidence } }: AnswerHead): LargerModel | undefined {
+  #findLargerModel({ facts: { confidence } }: ResponseHead): LargerModel | undefined {
     return this.#relay.hasBegun
       ? undefined
       : findLargerModel(this.#dependencies, {
@@ -252,32 +252,32 @@
    * A request that ended its upstream must not be at the next one before that is known. An answer of the
    * machine takes a round trip; a caller whose request can't be repeated is not kept waiting for it.
    */
-  async #continueAfterLoss(cause: string): Promise<void> {
+  async #retryOrConcludeAfterLoss(cause: string): Promise<void> {
     if (this.#canTryAgain('unknown')) {
-      await Promise.race([this.#attempt?.fate, sleep(FATE_WAIT_MS)]);
+      await Promise.race([this.#attempt?.exitVerdict, sleep(EXIT_PROBE_WAIT_MS)]);
     }
-    if (!this.#isOver) {
-      this.#continueAfter('unknown', cause);
+    if (!this.#isFinished) {
+      this.#retryOrConclude('unknown', cause);
     }
   }
 
-  #continueAfter(outcome: AttemptOutcome, cause: string): void {
-    this.#relay.interrupt();
+  #retryOrConclude(outcome: AttemptOutcome, cause: string): void {
+    this.#relay.discardPending();
     if (isUnspent(outcome)) {
-      this.#sent -= 1;
-      this.#unsent += 1;
+      this.#countedAttempts -= 1;
+      this.#uncountedAttempts += 1;
     }
     this.#mayHaveRun ||= outcome === 'unknown';
     const isHeld = this.#hold !== undefined;
     const canRepeat =
       !isHeld &&
       this.#canTryAgain(outcome) &&
-      (outcome === 'notSent' || this.#takeRepeat('failure'));
-    const asked = outcome === 'unknown' ? { digest: this.digest } : {};
-    this.#log('attemptFailed', { outcome, cause, repeated: canRepeat, ...asked });
+      (outcome === 'notSent' || this.#tryTakeRetryBudget('failure'));
+    const digestField = outcome === 'unknown' ? { digest: this.digest } : {};
+    this.#log('attemptFailed', { outcome, cause, repeated: canRepeat, ...digestField });
     this.#attempt?.detach();
     if (canRepeat) {
-      this.#sendAgain();
+      this.#resend();
       return;
     }
     const isNotRun = outcome === 'refused' || isUnspent(outcome);
@@ -289,15 +289,15 @@
     return mayTryAgain({
       outcome,
       isRepeatable: isRepeatable(this.#resolved.route),
-      sent: this.#sent,
+      sent: this.#countedAttempts,
       maxAttempts: this.#resolved.route.maxAttempts,
-      unsent: this.#unsent,
+      unsent: this.#uncountedAttempts,
       remainingMs: this.#getRemainingMs(),
       minAttemptMs: MIN_ATTEMPT_MS,
     });
   }
 
-  #takeRepeat(purpose: RepeatPurpose): boolean {
+  #tryTakeRetryBudget(purpose: RepeatPurpose): boolean {
     const service = this.#attempt?.service ?? '';
     return this.#dependencies.getRepeatBudget(service).tryRepeat(purpose, performance.now());
   }
@@ -328,13 +328,13 @@
   }
 
   /** A failure proves nothing: an upstream may answer with one before it has begun. */
-  #noteAnswered(): void {
+  #reportSuccess(): void {
     if (isSuccess(this.#status ?? 0)) {
       this.#dependencies.crashes.noteAnswered(this.digest);
     }
   }
 
-  #sendAgain(): void {
+  #resend(): void {
     const refused = this.#hold === undefined ? this.#refreshRoute() : 'held';
     if (refused === undefined) {
       this.#send(this.#pickService());
@@ -348,7 +348,7 @@
     const { options } = this.#request;
     const { crashes } = this.#dependencies;
     const blame = crashes.isEmpty ? 0 : crashes.getWeight(this.digest);
-    const question = {
+    const query = {
       service,
       route,
       options,
@@ -356,16 +356,16 @@
       usedUpstreams: this.#usedUpstreams,
       suspectDigest: blame === 0 ? undefined : this.digest,
     };
-    const place = findPlace(this.#dependencies, question);
-    if (place === undefined) {
-      this.#concludeUnplaced(question);
+    const placement = findPlacement(this.#dependencies, query);
+    if (placement === undefined) {
+      this.#concludeUnplaced(query);
       return;
     }
-    this.#noteDemand(service, place);
-    this.#usedUpstreams.add(place.entry.lifeId);
-    this.#sent += 1;
+    this.#recordDemand(service, placement);
+    this.#usedUpstreams.add(placement.entry.lifeId);
+    this.#countedAttempts += 1;
     this.#attempt = new Attempt(this.#dependencies, this.#request, this, {
-      ...place,
+      ...placement,
       service,
       route,
       model: this.#model,
@@ -376,16 +376,16 @@
       isResumed: this.#relay.hasBegun,
     });
     this.#log('sent', {
-      ...describePlace(this.#dependencies, place, question),
-      attempt: this.#sent,
+      ...describePlacement(this.#dependencies, placement, query),
+      attempt: this.#countedAttempts,
       ...(blame === 0 ? {} : { blame, digest: this.digest }),
     });
     this.#attempt.start();
   }
 
-  #concludeUnplaced(question: PlaceQuestion): void {
-    const expiryWaitMs = findSessionExpiryWait(this.#dependencies, question);
-    const waitMs = expiryWaitMs ?? findWarmUpWait(this.#dependencies, question);
+  #concludeUnplaced(query: PlacementQuery): void {
+    const expiryWaitMs = findSessionExpiryWait(this.#dependencies, query);
+    const waitMs = expiryWaitMs ?? findWarmUpWait(this.#dependencies, query);
     if (waitMs === undefined) {
       this.#concludeFailure('noUpstream');
       return;
@@ -394,7 +394,7 @@
     this.#concludeFailure(reason, Math.max(MIN_RETRY_AFTER_S, waitMs / MS_PER_S));
   }
 
-  #noteDemand(service: string, { startWork, runWork }: Place): void {
+  #recordDemand(service: string, { startWork, runWork }: Placement): void {
     if (this.#model !== undefined) {
       this.#dependencies.getModelDemand(service).note(this.#model, startWork + runWork);
     }
@@ -404,35 +404,39 @@
     return this.#deadlineAtMs - performance.now();
   }
 
-  #passDeadline(): void {
-    this.#concludeFailure(this.#mayHaveRun || this.#sent > 0 ? 'deadline' : 'deadlineNotRun');
+  #onDeadline(): void {
+    this.#concludeFailure(
+      this.#mayHaveRun || this.#countedAttempts > 0 ? 'deadline' : 'deadlineNotRun',
+    );
   }
 
   /** Ends without an upstream's whole answer; a request that may have run is never called not run. */
   #concludeFailure(reason: RefusalReason, knownAfterS?: number): void {
-    if (this.#isOver) {
+    if (this.#isFinished) {
       return;
     }
-    const told = this.#mayHaveRun ? tellAfterRun(reason) : reason;
+    const finalReason = this.#mayHaveRun ? toReasonAfterRun(reason) : reason;
     const hold = reason === 'held' ? this.#hold : undefined;
-    const afterS = told === reason ? knownAfterS : undefined;
+    const afterS = finalReason === reason ? knownAfterS : undefined;
     this.#log('refused', {
-      reason: told,
-      attempts: this.#sent,
+      reason: finalReason,
+      attempts: this.#countedAttempts,
       begun: this.#relay.hasBegun,
       afterS,
       ...(hold === undefined ? {} : { digest: hold.digest, ended: hold.lives }),
     });
     if (this.#relay.hasBegun) {
-      this.#port.breakOff();
+      this.#port.abort();
     } else {
-      this.#port.refuse(buildRefusal(told, hold === undefined ? afterS : getSecondsLeft(hold)));
+      this.#port.refuse(
+        buildRefusal(finalReason, hold === undefined ? afterS : getSecondsLeft(hold)),
+      );
     }
-    this.#finish(told);
+    this.#finish(finalReason);
   }
 
   #finish(outcome: string): void {
-    this.#isOver = true;
+    this.#isFinished = true;
     clearTimeout(this.#deadlineTimer);
     this.#attempt?.abort();
     const tookMs = performance.now() - this.#request.arrivedAtMs;
--- a/packages/forwarding/src/runs/listCandidates.ts
+++ b/packages/forwarding/src/runs/listCandidates.ts
@@ -1,12 +1,13 @@
 /** The upstreams that a request may be sent to now, and when one will be free where there is none. */
 import type { UpstreamEntry } from '../upstreams/index.js';
 import type { ForwardDependencies } from './dependencies.js';
-import type { PlaceQuestion } from './placeQuestion.js';
+import type { PlacementQuery } from './placementQuery.js';
 
 const listAllowed = (
   { directory, rollouts }: ForwardDependencies,
-  { service, options }: PlaceQuestion,
-): readonly UpstreamEntry[] => rollouts.narrow(service, options, directory.listReady(service));
+  { service, options }: PlacementQuery,
+): readonly UpstreamEntry[] =>
+  rollouts.filterUpstreams(service, options, directory.listReady(service));
 
 /**
  * None where those that are thought to live take no more just now, as they are cold: a request is refused
@@ -14,36 +15,34 @@
  */
 export const listCandidates = (
   dependencies: ForwardDependencies,
-  question: PlaceQuestion,
+  query: PlacementQuery,
   nowMs: number,
 ): readonly UpstreamEntry[] => {
   const { configuration, coldGate } = dependencies;
-  const allowed = listAllowed(dependencies, question);
-  const warmUp = configuration.table?.findService(question.service)?.warmUp;
+  const allowed = listAllowed(dependencies, query);
+  const warmUp = configuration.table?.findService(query.service)?.warmUp;
   const ready = allowed.filter((entry) => coldGate.admits(entry, warmUp, nowMs));
   const isSound = (entry: UpstreamEntry): boolean => !entry.isSuspect(nowMs);
   if (ready.length < allowed.length && allowed.some(isSound) && !ready.some(isSound)) {
     return [];
   }
-  const unused = ready.filter((entry) => !question.usedUpstreams.has(entry.lifeId));
+  const unused = ready.filter((entry) => !query.usedUpstreams.has(entry.lifeId));
   return unused.length > 0 ? unused : ready;
 };
 
 /** In ms until the session expires, if its version is evacuated; undefined otherwise. */
 export const findSessionExpiryWait = (
   { directory, rollouts }: ForwardDependencies,
-  { service, options }: PlaceQuestion,
+  { service, options }: PlacementQuery,
 ): number | undefined =>
   rollouts.findSessionExpiryWaitMs(service, options, directory.listReady(service));
 
 /** In ms until a cold upstream takes one more; undefined where no cold one is among those allowed. */
 export const findWarmUpWait = (
   dependencies: ForwardDependencies,
-  question: PlaceQuestion,
+  query: PlacementQuery,
 ): number | undefined => {
   const { configuration, coldGate } = dependencies;
-  const warmUp = configuration.table?.findService(question.service)?.warmUp;
-  return (
-    warmUp && coldGate.getWaitMs(listAllowed(dependencies, question), warmUp, performance.now())
-  );
+  const warmUp = configuration.table?.findService(query.service)?.warmUp;
+  return warmUp && coldGate.getWaitMs(listAllowed(dependencies, query), warmUp, performance.now());
 };
--- a/packages/forwarding/src/runs/surroundings.ts
+++ b/packages/forwarding/src/runs/placementCosts.ts
@@ -16,10 +16,10 @@
 const REMOTE_MS_PER_ROUND_TRIP_MS = 25;
 
 /** Until a connection to another data centre was made: a neighbour in the same region. */
-const USUAL_ROUND_TRIP_MS = 2;
+const DEFAULT_ROUND_TRIP_MS = 2;
 
 /** In ms to each data centre, by the nearest of its upstreams; Infinity before a connection was made. */
-const measureRoundTrips = (entries: readonly UpstreamEntry[]): ReadonlyMap<string, number> => {
+const getShortestRoundTrips = (entries: readonly UpstreamEntry[]): ReadonlyMap<string, number> => {
   const roundTrips = new Map<string, number>();
   for (const { upstream, pool } of entries) {
     const { dataCentre } = upstream;
@@ -47,8 +47,8 @@
 ): GetRemotePenalty => {
   // Once a data centre, not once an upstream: each estimate adds up what the whole fleet learned.
   const penalties = new Map<string, number>();
-  for (const [dataCentre, measuredMs] of measureRoundTrips(entries)) {
-    const roundTripMs = Number.isFinite(measuredMs) ? measuredMs : USUAL_ROUND_TRIP_MS;
+  for (const [dataCentre, measuredMs] of getShortestRoundTrips(entries)) {
+    const roundTripMs = Number.isFinite(measuredMs) ? measuredMs : DEFAULT_ROUND_TRIP_MS;
     penalties.set(dataCentre, pace.estimateWork(REMOTE_MS_PER_ROUND_TRIP_MS * roundTripMs));
   }
   return (entry) =>
@@ -56,21 +56,21 @@
 };
 
 /** As much of a place's question as concerns its surroundings. */
-interface EngineQuestion {
+interface EnginePlacementQuery {
   readonly service: string;
   readonly route: ForwardRoute;
   readonly model: string | undefined;
 }
 
 /** What depends on where the service's upstreams are and how busy. */
-export interface Surroundings {
+export interface PlacementCosts {
   readonly getRemotePenalty: GetRemotePenalty;
   readonly leavePenalty: number;
   readonly lane?: Lane;
 }
 
 /** The upstreams that a request may go to, and the work at one of them in the mean. */
-export interface Neighbourhood {
+export interface CandidateLoad {
   readonly entries: readonly UpstreamEntry[];
   readonly meanBacklog: number;
 }
@@ -79,11 +79,11 @@
   entries.reduce((sum, { backlog }) => sum + backlog, 0) / Math.max(1, entries.length);
 
 /** Of engines. */
-export const lookAroundEngine = (
+export const getEnginePlacementCosts = (
   dependencies: ForwardDependencies,
-  { service, route, model }: EngineQuestion,
-  { entries, meanBacklog }: Neighbourhood,
-): Surroundings => {
+  { service, route, model }: EnginePlacementQuery,
+  { entries, meanBacklog }: CandidateLoad,
+): PlacementCosts => {
   const pace = dependencies.getWorkPace(service);
   const meanWaitMs = pace.estimateMs(meanBacklog);
   const demand = dependencies.getModelDemand(service);
@@ -96,7 +96,7 @@
 };
 
 /** Of plain services, which read no prompts and have no models. */
-export const lookAroundPlain = (dependencies: ForwardDependencies): Surroundings => ({
+export const getPlainPlacementCosts = (dependencies: ForwardDependencies): PlacementCosts => ({
   getRemotePenalty: createPlainPenalty(dependencies),
   leavePenalty: 0,
 });
--- a/packages/forwarding/src/runs/placeQuestion.ts
+++ b/packages/forwarding/src/runs/placementQuery.ts
@@ -2,7 +2,7 @@
 import type { RequestDigest } from '@snipehaven/common';
 import type { ForwardRoute, RequestOptions } from '../types.js';
 
-export interface PlaceQuestion {
+export interface PlacementQuery {
   readonly service: string;
   readonly route: ForwardRoute;
   readonly options: RequestOptions;
--- a/packages/forwarding/src/runs/refusals.ts
+++ b/packages/forwarding/src/runs/refusals.ts
@@ -34,5 +34,5 @@
 };
 
 /** A request that may have run is never called not run. */
-export const tellAfterRun = (reason: RefusalReason): RefusalReason =>
+export const toReasonAfterRun = (reason: RefusalReason): RefusalReason =>
   reasonsAfterRun[reason] ?? 'upstreamFailed';
--- a/packages/forwarding/src/runs/relays.ts
+++ b/packages/forwarding/src/runs/relays.ts
@@ -1,36 +1,36 @@
 /** How an answer's bytes go to the caller: held until whole, or event by event. */
 import { MAX_HELD_ANSWER_BYTES } from '../constants.js';
-import type { AnswerFraming, AnswerHead } from '../exchange/index.js';
+import type { ResponseFraming, ResponseHead } from '../exchange/index.js';
 import type { HeaderDialect, RouteKind } from '../types.js';
 import { EventSplitter } from './eventSplitter.js';
 import type { CallerPort } from './types.js';
 
-export interface AnswerRelay {
+export interface ResponseRelay {
   /** Whether the caller has got a part of the answer. */
   readonly hasBegun: boolean;
   readonly lastEventId: number | undefined;
   /** An answer starts; of resumed ones only the events are used. */
-  begin(head: AnswerHead): void;
+  begin(head: ResponseHead): void;
   /** False when the caller reads more slowly than bytes come. */
-  take(bytes: Buffer): boolean;
+  relay(bytes: Buffer): boolean;
   finish(): void;
   /** The present answer is given up; what the caller does not have yet is forgotten. */
-  interrupt(): void;
+  discardPending(): void;
 }
 
 /** Holds a whole answer, so that one that breaks can be asked for again. Large ones pass through. */
-export class WholeRelay implements AnswerRelay {
+export class BufferingRelay implements ResponseRelay {
   readonly #port: CallerPort;
 
   readonly #dialect: HeaderDialect;
 
   readonly lastEventId = undefined;
 
-  #head: AnswerHead | undefined;
+  #head: ResponseHead | undefined;
 
-  #held: Buffer[] = [];
+  #buffered: Buffer[] = [];
 
-  #heldBytes = 0;
+  #bufferedBytes = 0;
 
   #hasBegun = false;
 
@@ -43,46 +43,46 @@
     return this.#hasBegun;
   }
 
-  begin(head: AnswerHead): void {
+  begin(head: ResponseHead): void {
     this.#head = head;
   }
 
-  take(bytes: Buffer): boolean {
+  relay(bytes: Buffer): boolean {
     if (this.#hasBegun) {
       return this.#port.write(bytes);
     }
-    this.#held.push(bytes);
-    this.#heldBytes += bytes.length;
-    return this.#heldBytes > MAX_HELD_ANSWER_BYTES ? this.#release() : true;
+    this.#buffered.push(bytes);
+    this.#bufferedBytes += bytes.length;
+    return this.#bufferedBytes > MAX_HELD_ANSWER_BYTES ? this.#flush() : true;
   }
 
   finish(): void {
     if (!this.#hasBegun) {
-      this.#release();
+      this.#flush();
     }
     this.#port.end();
   }
 
-  interrupt(): void {
-    this.#held = [];
-    this.#heldBytes = 0;
+  discardPending(): void {
+    this.#buffered = [];
+    this.#bufferedBytes = 0;
   }
 
-  #release(): boolean {
+  #flush(): boolean {
     const head = this.#head;
     if (head === undefined) {
       return true;
     }
     this.#hasBegun = true;
     this.#port.begin(head.status, this.#dialect.buildCallerHeaders(head.headers), head.framing);
-    const isTaken = this.#heldBytes === 0 || this.#port.write(Buffer.concat(this.#held));
-    this.interrupt();
+    const isTaken = this.#bufferedBytes === 0 || this.#port.write(Buffer.concat(this.#buffered));
+    this.discardPending();
     return isTaken;
   }
 }
 
 /** Passes whole events on at once, the first answer's headers before them. */
-export class EventRelay implements AnswerRelay {
+export class EventRelay implements ResponseRelay {
   readonly #port: CallerPort;
 
   readonly #dialect: HeaderDialect;
@@ -91,9 +91,9 @@
 
   #lastEventId: number | undefined;
 
-  #head: AnswerHead | undefined;
+  #head: ResponseHead | undefined;
 
-  #framing: AnswerFraming = 'chunked';
+  #framing: ResponseFraming = 'chunked';
 
   #hasBegun = false;
 
@@ -111,13 +111,13 @@
     return this.#lastEventId;
   }
 
-  begin(head: AnswerHead): void {
+  begin(head: ResponseHead): void {
     this.#head ??= head;
     this.#framing = head.framing;
     this.#splitter = new EventSplitter();
   }
 
-  take(bytes: Buffer): boolean {
+  relay(bytes: Buffer): boolean {
     const whole = this.#splitter.push(bytes);
     this.#lastEventId = whole.lastEventId ?? this.#lastEventId;
     return whole.bytes.length === 0 || this.#write(whole.bytes);
@@ -125,7 +125,7 @@
 
   finish(): void {
     if (this.#isEndUnknown()) {
-      this.#port.breakOff();
+      this.#port.abort();
       return;
     }
     const rest = this.#splitter.takeRest();
@@ -133,7 +133,7 @@
     this.#port.end();
   }
 
-  interrupt(): void {
+  discardPending(): void {
     this.#splitter = new EventSplitter();
     if (!this.#hasBegun) {
       this.#head = undefined;
@@ -159,12 +159,12 @@
   port: CallerPort,
   dialect: HeaderDialect,
   lastEventId: number | undefined,
-) => AnswerRelay;
+) => ResponseRelay;
 
-const createWhole: RelayFactory = (port, dialect) => new WholeRelay(port, dialect);
+const createBufferingRelay: RelayFactory = (port, dialect) => new BufferingRelay(port, dialect);
 
 export const relayFactories: Readonly<Record<RouteKind, RelayFactory>> = {
-  idempotent: createWhole,
-  nonIdempotent: createWhole,
+  idempotent: createBufferingRelay,
+  nonIdempotent: createBufferingRelay,
   stream: (port, dialect, lastEventId) => new EventRelay(port, dialect, lastEventId),
 };
--- a/packages/forwarding/src/runs/punctuality.ts
+++ b/packages/forwarding/src/runs/responseTiming.ts
@@ -5,12 +5,12 @@
 export const roundMs = (ms: number | undefined): number | undefined =>
   ms === undefined ? undefined : Math.round(ms);
 
-export class Punctuality {
+export class ResponseTiming {
   readonly #arrivedAtMs: number;
 
-  #beganAtMs: number | undefined;
+  #firstBytesAtMs: number | undefined;
 
-  #lastAtMs = 0;
+  #lastBytesAtMs = 0;
 
   #longestPauseMs = 0;
 
@@ -19,18 +19,18 @@
   }
 
   /** Bytes came for the caller. */
-  note(nowMs: number): void {
-    if (this.#beganAtMs === undefined) {
-      this.#beganAtMs = nowMs;
+  recordBytes(nowMs: number): void {
+    if (this.#firstBytesAtMs === undefined) {
+      this.#firstBytesAtMs = nowMs;
     } else {
-      this.#longestPauseMs = Math.max(this.#longestPauseMs, nowMs - this.#lastAtMs);
+      this.#longestPauseMs = Math.max(this.#longestPauseMs, nowMs - this.#lastBytesAtMs);
     }
-    this.#lastAtMs = nowMs;
+    this.#lastBytesAtMs = nowMs;
   }
 
   /** For the log: whether the answer was late, and by which of its two bounds. */
   describe({ kind, targetLatencyMs, targetGapMs }: ForwardRoute) {
-    const beganMs = (this.#beganAtMs ?? this.#lastAtMs) - this.#arrivedAtMs;
+    const beganMs = (this.#firstBytesAtMs ?? this.#lastBytesAtMs) - this.#arrivedAtMs;
     const isBeginLate = beganMs > targetLatencyMs;
     const isPauseLate = kind === 'stream' && this.#longestPauseMs > targetGapMs;
     return {
--- a/packages/forwarding/src/runs/types.ts
+++ b/packages/forwarding/src/runs/types.ts
@@ -1,6 +1,6 @@
 /** What a run needs of the caller's connection, and its final refusals. */
 
-import type { AnswerFraming } from '../exchange/index.js';
+import type { ResponseFraming } from '../exchange/index.js';
 
 /** Why a caller gets no upstream's answer. */
 export type RefusalReason =
@@ -37,13 +37,13 @@
   begin(
     status: number,
     headers: Readonly<Record<string, string | string[]>>,
-    framing: AnswerFraming,
+    framing: ResponseFraming,
   ): void;
   /** False when the caller reads more slowly than we write. */
   write(bytes: Buffer): boolean;
   end(): void;
   /** Ends an answer that is not whole, so that nobody takes it for one. */
-  breakOff(): void;
+  abort(): void;
   refuse(refusal: Refusal): void;
   onDrain(listener: () => void): void;
 }
--- a/packages/forwarding/src/runs/versionReport.test.ts
+++ b/packages/forwarding/src/runs/versionReporter.test.ts
@@ -10,7 +10,7 @@
 import { UpstreamEntry } from '../upstreams/index.js';
 import type { CallerRequest } from './callerRequest.js';
 import type { ForwardDependencies } from './dependencies.js';
-import { VersionReport } from './versionReport.js';
+import { VersionReporter } from './versionReporter.js';
 
 interface Context {
   clock: Clock;
@@ -19,7 +19,7 @@
 
 const EVENTS = 30;
 const EVENT_BYTES = 80;
-const USUAL_GAP_MS = 20;
+const BASELINE_GAP_MS = 20;
 const ORDER = { service: 's', toVersion: 'v2', durationMs: 60_000 };
 
 const test = suite<Context>('reports on versions');
@@ -45,13 +45,13 @@
 
 test.after.each(({ clock }) => clock.uninstall());
 
-const createReport = (guide: RolloutGuide, softwareVersion: string): VersionReport => {
+const createReporter = (guide: RolloutGuide, softwareVersion: string): VersionReporter => {
   const place = { id: softwareVersion, service: 's', host: '127.0.0.1', port: 1, dataCentre: 'a' };
   const upstream = { ...place, softwareVersion, slots: 4, state: 'ready' as const };
   const entry = new UpstreamEntry(upstream, new PeerLoads());
   const request = { options: { attemptId: 'a' } } as unknown as CallerRequest;
   const dependencies = { rollouts: guide } as unknown as ForwardDependencies;
-  return new VersionReport(dependencies, request, { entry, route: { name: 'r' }, model: 'm' });
+  return new VersionReporter(dependencies, request, { entry, route: { name: 'r' }, model: 'm' });
 };
 
 /** A stream whose head is as fast as ever. */
@@ -60,17 +60,17 @@
   softwareVersion: string,
   gapsMs: readonly number[],
 ): void => {
-  const report = createReport(guide, softwareVersion);
-  report.noteSent();
+  const report = createReporter(guide, softwareVersion);
+  report.onSent();
   clock.tick(60);
-  report.noteBegun();
-  report.tell('answered');
+  report.onResponseStart();
+  report.reportOutcome('answered');
   gapsMs.forEach((gapMs) => {
     clock.tick(gapMs);
-    report.noteBytes(EVENT_BYTES);
+    report.onBytes(EVENT_BYTES);
   });
-  report.noteWhole();
-  report.stopWaiting();
+  report.onResponseComplete();
+  report.clearSlowTimer();
 };
 
 const evenGaps = (gapMs: number): readonly number[] => Array.from({ length: EVENTS }, () => gapMs);
@@ -84,24 +84,24 @@
 };
 
 test('a version was kept whose streams began in time and trickled', (context) => {
-  streamMany(context, 'v1', evenGaps(USUAL_GAP_MS));
-  streamMany(context, 'v2', evenGaps(USUAL_GAP_MS));
+  streamMany(context, 'v1', evenGaps(BASELINE_GAP_MS));
+  streamMany(context, 'v2', evenGaps(BASELINE_GAP_MS));
   assert.is(getState(context), 'running');
-  streamMany(context, 'v2', evenGaps(USUAL_GAP_MS * 8));
+  streamMany(context, 'v2', evenGaps(BASELINE_GAP_MS * 8));
   assert.is(getState(context), 'rolledBack');
 });
 
 test('a version was blamed for a way that was silent', (context) => {
-  streamMany(context, 'v1', evenGaps(USUAL_GAP_MS));
-  const [, ...others] = evenGaps(USUAL_GAP_MS);
+  streamMany(context, 'v1', evenGaps(BASELINE_GAP_MS));
+  const [, ...others] = evenGaps(BASELINE_GAP_MS);
   streamMany(context, 'v2', [2_000, ...others]);
   assert.is(getState(context), 'running');
 });
 
 test('a version was blamed for what runs slowly on the old one too', (context) => {
-  streamMany(context, 'v1', evenGaps(USUAL_GAP_MS));
-  streamMany(context, 'v1', evenGaps(USUAL_GAP_MS * 8));
-  streamMany(context, 'v2', evenGaps(USUAL_GAP_MS * 8));
+  streamMany(context, 'v1', evenGaps(BASELINE_GAP_MS));
+  streamMany(context, 'v1', evenGaps(BASELINE_GAP_MS * 8));
+  streamMany(context, 'v2', evenGaps(BASELINE_GAP_MS * 8));
   assert.is(getState(context), 'running');
 });
 
--- a/packages/forwarding/src/runs/versionReport.ts
+++ b/packages/forwarding/src/runs/versionReporter.ts
@@ -1,17 +1,17 @@
 /** What one attempt tells of the version that it runs on: how that answers, and which session it serves. */
-import type { AnswerBody, RolloutWork } from '../rollouts/index.js';
+import type { BodyProgress, RolloutWork } from '../rollouts/index.js';
 import type { UpstreamEntry, UpstreamOutcome } from '../upstreams/index.js';
 import type { CallerRequest } from './callerRequest.js';
-import { ALIVE_MS } from './constants.js';
+import { RECENT_ACTIVITY_MS } from './constants.js';
 import type { ForwardDependencies } from './dependencies.js';
 
-export interface ReportedPlan {
+export interface ReportedAttempt {
   readonly entry: UpstreamEntry;
   readonly route: { readonly name: string };
   readonly model: string | undefined;
 }
 
-export class VersionReport {
+export class VersionReporter {
   readonly #dependencies: ForwardDependencies;
 
   readonly #request: CallerRequest;
@@ -26,20 +26,20 @@
 
   #slowTimer: NodeJS.Timeout | undefined;
 
-  #isToldSlow = false;
+  #isReportedSlow = false;
 
   #beganAtMs: number | undefined;
 
-  #heardAtMs = 0;
+  #lastBytesAtMs = 0;
 
-  #isPaceKnown = true;
+  #isThroughputValid = true;
 
   #bytes = 0;
 
   constructor(
     dependencies: ForwardDependencies,
     request: CallerRequest,
-    { entry, route, model }: ReportedPlan,
+    { entry, route, model }: ReportedAttempt,
   ) {
     const { service, softwareVersion, dataCentre } = entry.upstream;
     this.#dependencies = dependencies;
@@ -50,90 +50,94 @@
   }
 
   /** A version that hangs is known to be slow before its answers come, if they ever do. */
-  noteSent(): void {
+  onSent(): void {
     this.#sentAtMs = performance.now();
     this.#slowMs = this.#dependencies.rollouts.getSlowMs(this.#work);
     if (Number.isFinite(this.#slowMs)) {
-      this.#slowTimer = setTimeout(() => this.#tellSlow(), this.#slowMs + 1);
+      this.#slowTimer = setTimeout(() => this.#reportSlow(), this.#slowMs + 1);
     }
   }
 
   /** The answer has begun. */
-  noteBegun(): void {
+  onResponseStart(): void {
     const nowMs = performance.now();
     this.#beganAtMs = nowMs;
-    this.#heardAtMs = nowMs;
-    this.stopWaiting();
+    this.#lastBytesAtMs = nowMs;
+    this.clearSlowTimer();
   }
 
-  noteBytes(bytes: number): void {
+  onBytes(bytes: number): void {
     const nowMs = performance.now();
-    const isStall = nowMs - this.#heardAtMs > ALIVE_MS;
-    this.#heardAtMs = nowMs;
+    const isStall = nowMs - this.#lastBytesAtMs > RECENT_ACTIVITY_MS;
+    this.#lastBytesAtMs = nowMs;
     this.#bytes += bytes;
     if (isStall) {
-      this.ignorePace();
+      this.excludeThroughput();
     }
     const { rollouts } = this.#dependencies;
-    if (this.#isPaceKnown && !this.#isToldSlow && rollouts.isBodySlow(this.#work, this.#body)) {
-      this.#isToldSlow = true;
-      rollouts.noteSlowBody(this.#work, this.#body);
+    if (
+      this.#isThroughputValid &&
+      !this.#isReportedSlow &&
+      rollouts.isBodySlow(this.#work, this.#body)
+    ) {
+      this.#isReportedSlow = true;
+      rollouts.recordSlowBody(this.#work, this.#body);
     }
   }
 
   /** The answer is whole. */
-  noteWhole(): void {
-    if (this.#isPaceKnown) {
-      this.#dependencies.rollouts.learnBody(this.#work, this.#body);
+  onResponseComplete(): void {
+    if (this.#isThroughputValid) {
+      this.#dependencies.rollouts.recordBodyRate(this.#work, this.#body);
     }
   }
 
   /** The caller reads slowly, or the way to the upstream was silent: the pace is not the version's. */
-  ignorePace(): void {
-    this.#isPaceKnown = false;
+  excludeThroughput(): void {
+    this.#isThroughputValid = false;
   }
 
   /** Nothing waits for the answer any more. */
-  stopWaiting(): void {
+  clearSlowTimer(): void {
     clearTimeout(this.#slowTimer);
   }
 
   /** Only what the upstream's software may be to blame for: not refusals, nor machines out of reach. */
-  tell(outcome: UpstreamOutcome): void {
+  reportOutcome(outcome: UpstreamOutcome): void {
     if (outcome === 'failed') {
       this.#dependencies.rollouts.noteAnswer({ ...this.#work, isFailed: true });
     }
-    if (outcome === 'answered' && !this.#isToldSlow) {
-      this.#tellTime();
+    if (outcome === 'answered' && !this.#isReportedSlow) {
+      this.#reportHeadTime();
     }
   }
 
   /** The session's request runs, or has ended: a session lasts from the end of one request to the next. */
-  noteSession(): void {
+  recordSessionRun(): void {
     const { session, attemptId } = this.#request.options;
     const { service, softwareVersion } = this.#work;
     if (session !== undefined) {
       const answer = { service, session, softwareVersion, request: attemptId };
-      this.#dependencies.rollouts.noteSessionRun(answer);
+      this.#dependencies.rollouts.recordSessionRun(answer);
     }
   }
 
   /** Where the upstream's machine is silent its software may not be to blame. */
-  #tellSlow(): void {
-    if (performance.now() - this.#entry.lastBytesAtMs < ALIVE_MS) {
-      this.#isToldSlow = true;
-      this.#tellTime();
+  #reportSlow(): void {
+    if (performance.now() - this.#entry.lastBytesAtMs < RECENT_ACTIVITY_MS) {
+      this.#isReportedSlow = true;
+      this.#reportHeadTime();
     }
   }
 
-  get #body(): AnswerBody {
+  get #body(): BodyProgress {
     const nowMs = performance.now();
     return { bytes: this.#bytes, tookMs: nowMs - (this.#beganAtMs ?? nowMs) };
   }
 
-  #tellTime(): void {
+  #reportHeadTime(): void {
     const headMs = performance.now() - this.#sentAtMs;
-    this.#isToldSlow ||= headMs > this.#slowMs;
+    this.#isReportedSlow ||= headMs > this.#slowMs;
     this.#dependencies.rollouts.noteAnswer({ ...this.#work, isFailed: false, headMs });
   }
 }
--- a/packages/forwarding/src/upstreams/coldGate.ts
+++ b/packages/forwarding/src/upstreams/coldGate.ts
@@ -4,11 +4,11 @@
  */
 import { getColdShare } from '@snipehaven/policy';
 import type { WarmUpFacts } from '../types.js';
-import { COLD_WINDOW_MS } from './coldWatch.js';
+import { COLD_WINDOW_MS } from './coldState.js';
 import type { UpstreamEntry } from './upstreamEntry.js';
 
 /** The daemons, as this one knows them. */
-export interface ColdFleet {
+export interface FleetMembership {
   /** This one among them. */
   readonly daemons: number;
   /** Whether this daemon has had time to hear of the others: alone it would think the whole rate its own. */
@@ -18,16 +18,16 @@
 }
 
 export class ColdGate {
-  readonly #fleet: ColdFleet;
+  readonly #fleet: FleetMembership;
 
-  constructor(fleet: ColdFleet) {
+  constructor(fleet: FleetMembership) {
     this.#fleet = fleet;
   }
 
   /** Whether one more request may go there now. */
   admits(entry: UpstreamEntry, warmUp: WarmUpFacts | undefined, nowMs: number): boolean {
-    const isFree = warmUp === undefined || !entry.cold.isCold(nowMs);
-    return isFree || entry.cold.countSent(nowMs) < this.#getShare(entry, warmUp);
+    const isUnlimited = warmUp === undefined || !entry.cold.isCold(nowMs);
+    return isUnlimited || entry.cold.countSent(nowMs) < this.#getShare(entry, warmUp);
   }
 
   /**
--- a/packages/forwarding/src/upstreams/coldWatch.ts
+++ b/packages/forwarding/src/upstreams/coldState.ts
@@ -3,24 +3,24 @@
 /** The span over which a cold upstream's requests are counted, wherever it begins. */
 export const COLD_WINDOW_MS = 1_000;
 
-export class ColdWatch {
-  #untilMs = -Infinity;
+export class ColdState {
+  #coldUntilMs = -Infinity;
 
   /** Of requests sent within the window, oldest first. */
   readonly #sentAtMs: number[] = [];
 
   /** It stays cold for so long, by its own word or because nobody can know better. True when that is news. */
-  note(coldMs: number, nowMs: number): boolean {
-    const isNews = coldMs > 0 && !this.isCold(nowMs);
-    this.#untilMs = Math.max(this.#untilMs, nowMs + coldMs);
-    return isNews;
+  markCold(coldMs: number, nowMs: number): boolean {
+    const isNewlyCold = coldMs > 0 && !this.isCold(nowMs);
+    this.#coldUntilMs = Math.max(this.#coldUntilMs, nowMs + coldMs);
+    return isNewlyCold;
   }
 
   isCold(nowMs: number): boolean {
-    return nowMs < this.#untilMs;
+    return nowMs < this.#coldUntilMs;
   }
 
-  noteSent(nowMs: number): void {
+  recordSent(nowMs: number): void {
     this.#dropOld(nowMs);
     this.#sentAtMs.push(nowMs);
   }
@@ -33,7 +33,7 @@
 
   /** Until one more may go to it, of so many in any window; until it is warm at the latest. */
   getWaitMs(share: number, nowMs: number): number {
-    const warmInMs = Math.max(0, this.#untilMs - nowMs);
+    const warmInMs = Math.max(0, this.#coldUntilMs - nowMs);
     const oldest = this.#sentAtMs.at(-share);
     const freeInMs = share > 0 && oldest !== undefined ? oldest + COLD_WINDOW_MS - nowMs : Infinity;
     return Math.min(warmInMs, Math.max(0, freeInMs));
--- a/packages/forwarding/src/upstreams/dataCentreWatch.test.ts
+++ b/packages/forwarding/src/upstreams/dataCentreMonitor.test.ts
@@ -27,7 +27,7 @@
   return directory;
 };
 
-const listSound = (directory: UpstreamDirectory, nowMs: number): readonly string[] =>
+const listUnsuspectedIds = (directory: UpstreamDirectory, nowMs: number): readonly string[] =>
   directory
     .listReady('s')
     .filter((entry) => !entry.isSuspect(nowMs))
@@ -38,34 +38,34 @@
 // nothing is concluded from the others.
 test('two silent upstreams make their data centre suspect, and no other', () => {
   const directory = createDirectory();
-  directory.find('b-1')?.noteOutcome('unreachable', 1_000);
-  assert.equal(listSound(directory, 1_001), ['a-1', 'a-2', 'a-3', 'b-2', 'b-3']);
-  directory.find('b-2')?.noteOutcome('unreachable', 1_300);
-  assert.equal(listSound(directory, 1_301), ['a-1', 'a-2', 'a-3']);
-  assert.ok(listSound(directory, 2_101).includes('b-3'));
+  directory.find('b-1')?.recordOutcome('unreachable', 1_000);
+  assert.equal(listUnsuspectedIds(directory, 1_001), ['a-1', 'a-2', 'a-3', 'b-2', 'b-3']);
+  directory.find('b-2')?.recordOutcome('unreachable', 1_300);
+  assert.equal(listUnsuspectedIds(directory, 1_301), ['a-1', 'a-2', 'a-3']);
+  assert.ok(listUnsuspectedIds(directory, 2_101).includes('b-3'));
 });
 
 // Symptom: half of the engines get all the work. Sequence: two engines crash. Cause: their data centre
 // is taken for cut off though the third answers.
 test('a sign of life there clears the data centre, not the silent ones', () => {
   const directory = createDirectory();
-  directory.find('b-1')?.noteOutcome('unreachable', 1_000);
-  directory.find('b-3')?.noteBytes(1_100);
-  directory.find('b-2')?.noteOutcome('unreachable', 1_200);
-  assert.equal(listSound(directory, 1_201), ['a-1', 'a-2', 'a-3', 'b-3']);
-  directory.find('b-1')?.noteOutcome('unreachable', 1_300);
-  assert.equal(listSound(directory, 1_301), ['a-1', 'a-2', 'a-3']);
-  directory.find('b-3')?.noteBytes(1_400);
-  assert.equal(listSound(directory, 1_401), ['a-1', 'a-2', 'a-3', 'b-3']);
+  directory.find('b-1')?.recordOutcome('unreachable', 1_000);
+  directory.find('b-3')?.recordActivity(1_100);
+  directory.find('b-2')?.recordOutcome('unreachable', 1_200);
+  assert.equal(listUnsuspectedIds(directory, 1_201), ['a-1', 'a-2', 'a-3', 'b-3']);
+  directory.find('b-1')?.recordOutcome('unreachable', 1_300);
+  assert.equal(listUnsuspectedIds(directory, 1_301), ['a-1', 'a-2', 'a-3']);
+  directory.find('b-3')?.recordActivity(1_400);
+  assert.equal(listUnsuspectedIds(directory, 1_401), ['a-1', 'a-2', 'a-3', 'b-3']);
 });
 
 test('one that is silent again and again, or two long after each other, are single upstreams', () => {
   const directory = createDirectory();
-  directory.find('b-1')?.noteOutcome('unreachable', 1_000);
-  directory.find('b-1')?.noteOutcome('unreachable', 1_100);
-  assert.ok(listSound(directory, 1_101).includes('b-3'));
-  directory.find('b-2')?.noteOutcome('unreachable', 3_000);
-  assert.ok(listSound(directory, 3_001).includes('b-3'));
+  directory.find('b-1')?.recordOutcome('unreachable', 1_000);
+  directory.find('b-1')?.recordOutcome('unreachable', 1_100);
+  assert.ok(listUnsuspectedIds(directory, 1_101).includes('b-3'));
+  directory.find('b-2')?.recordOutcome('unreachable', 3_000);
+  assert.ok(listUnsuspectedIds(directory, 3_001).includes('b-3'));
 });
 
 test.run();
--- a/packages/forwarding/src/upstreams/dataCentreWatch.ts
+++ b/packages/forwarding/src/upstreams/dataCentreMonitor.ts
@@ -6,38 +6,39 @@
  */
 
 /** Silent upstreams that make their data centre suspect. */
-const SILENT_UPSTREAMS = 2;
+const MIN_UNREACHABLE_UPSTREAMS = 2;
 
 /** They count together when found out within this: requests to them were under way at the same time. */
-const TOGETHER_MS = 1_500;
+const CORRELATION_WINDOW_MS = 1_500;
 
 /** As for a single upstream: left alone this long at first, and longer each time. */
-const FIRST_SUSPICION_MS = 800;
+const INITIAL_SUSPICION_MS = 800;
 const MAX_SUSPICION_MS = 3_000;
 
-interface CentreState {
+interface SuspicionState {
   /** By upstream, when it was found silent; emptied by any sign of life there. */
-  readonly silent: Map<string, number>;
+  readonly unreachableAtMs: Map<string, number>;
   suspectUntilMs: number;
   suspicionMs: number;
 }
 
-export class DataCentreWatch {
-  readonly #centres = new Map<string, CentreState>();
+export class DataCentreMonitor {
+  readonly #statesByDataCentre = new Map<string, SuspicionState>();
 
   /**
    * An upstream there refused a connection or was silent. True when its data centre is suspect from now
    * on.
    */
-  noteSilent(dataCentre: string, upstream: string, nowMs: number): boolean {
+  recordUnreachable(dataCentre: string, upstream: string, nowMs: number): boolean {
     const state = this.#getState(dataCentre);
-    for (const [known, atMs] of state.silent) {
-      if (nowMs - atMs > TOGETHER_MS) {
-        state.silent.delete(known);
+    for (const [known, atMs] of state.unreachableAtMs) {
+      if (nowMs - atMs > CORRELATION_WINDOW_MS) {
+        state.unreachableAtMs.delete(known);
       }
     }
-    state.silent.set(upstream, nowMs);
-    const isNew = state.silent.size >= SILENT_UPSTREAMS && nowMs >= state.suspectUntilMs;
+    state.unreachableAtMs.set(upstream, nowMs);
+    const isNew =
+      state.unreachableAtMs.size >= MIN_UNREACHABLE_UPSTREAMS && nowMs >= state.suspectUntilMs;
     if (isNew) {
       state.suspectUntilMs = nowMs + state.suspicionMs;
       state.suspicionMs = Math.min(MAX_SUSPICION_MS, state.suspicionMs * 2);
@@ -46,25 +47,25 @@
   }
 
   /** An upstream there sent something. */
-  noteAlive(dataCentre: string): void {
-    this.#centres.delete(dataCentre);
+  recordActivity(dataCentre: string): void {
+    this.#statesByDataCentre.delete(dataCentre);
   }
 
   isSuspect(dataCentre: string, nowMs: number): boolean {
-    return nowMs < (this.#centres.get(dataCentre)?.suspectUntilMs ?? 0);
+    return nowMs < (this.#statesByDataCentre.get(dataCentre)?.suspectUntilMs ?? 0);
   }
 
-  #getState(dataCentre: string): CentreState {
-    const known = this.#centres.get(dataCentre);
+  #getState(dataCentre: string): SuspicionState {
+    const known = this.#statesByDataCentre.get(dataCentre);
     if (known !== undefined) {
       return known;
     }
     const state = {
-      silent: new Map<string, number>(),
+      unreachableAtMs: new Map<string, number>(),
       suspectUntilMs: 0,
-      suspicionMs: FIRST_SUSPICION_MS,
+      suspicionMs: INITIAL_SUSPICION_MS,
     };
-    this.#centres.set(dataCentre, state);
+    this.#statesByDataCentre.set(dataCentre, state);
     return state;
   }
 }
--- a/packages/forwarding/src/upstreams/endWatch.test.ts
+++ b/packages/forwarding/src/upstreams/exitDetector.test.ts
@@ -3,7 +3,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { ProbeOutcome } from '../exchange/index.js';
-import { EndWatch, type SentRequest } from './endWatch.js';
+import { ExitDetector, type SentRequest } from './exitDetector.js';
 
 const test = suite('an upstream that ends');
 
@@ -15,11 +15,11 @@
   onHeld: () => {},
 });
 
-const watchWith = (outcome: ProbeOutcome) => {
+const createDetector = (outcome: ProbeOutcome) => {
   const ends: string[][] = [];
   let probes = 0;
   let revivals = 0;
-  const watch = new EndWatch({
+  const detector = new ExitDetector({
     probe: () => {
       probes += 1;
       return Promise.resolve(outcome);
@@ -29,20 +29,20 @@
       revivals += 1;
     },
   });
-  return { watch, ends, countProbes: () => probes, countRevivals: () => revivals };
+  return { detector, ends, countProbes: () => probes, countRevivals: () => revivals };
 };
 
 test('is found by one connection, whatever was lost, and told once with all that was there', async () => {
-  const { watch, ends, countProbes } = watchWith('refused');
+  const { detector, ends, countProbes } = createDetector('refused');
   const [a, b, c] = [send('a'), send('b'), send('c')];
-  [a, b, c].forEach((one) => watch.enter(one));
-  watch.leave(a);
-  watch.leave(b);
-  const verdicts = await Promise.all([watch.noteLoss(a), watch.noteLoss(b)]);
+  [a, b, c].forEach((one) => detector.addRequest(one));
+  detector.removeRequest(a);
+  detector.removeRequest(b);
+  const verdicts = await Promise.all([detector.onConnectionLost(a), detector.onConnectionLost(b)]);
   assert.equal(verdicts, ['ended', 'ended']);
   assert.equal(ends, [['a', 'b', 'c']]);
-  watch.leave(c);
-  assert.is(await watch.noteLoss(c), 'ended');
+  detector.removeRequest(c);
+  assert.is(await detector.onConnectionLost(c), 'ended');
   assert.is(ends.length, 1);
   assert.is(countProbes(), 1);
 });
@@ -52,38 +52,38 @@
     ['listening', 'listening'],
     ['silent', 'unknown'],
   ] as const) {
-    const { watch, ends } = watchWith(outcome);
+    const { detector, ends } = createDetector(outcome);
     const one = send('a');
-    assert.is(await watch.noteLoss(one), verdict);
+    assert.is(await detector.onConnectionLost(one), verdict);
     assert.equal(ends, []);
-    assert.is(watch.endedAtMs, undefined);
+    assert.is(detector.exitedAtMs, undefined);
   }
 });
 
 test('is asked for again at the next loss', async () => {
   const outcomes: ProbeOutcome[] = ['listening', 'refused'];
   const ends: number[] = [];
-  const watch = new EndWatch({
+  const detector = new ExitDetector({
     probe: () => Promise.resolve(outcomes.shift() ?? 'silent'),
     onEnd: (lost) => ends.push(lost.length),
     onAlive: () => {},
   });
-  assert.is(await watch.noteLoss(send('a')), 'listening');
-  assert.is(await watch.noteLoss(send('b')), 'ended');
+  assert.is(await detector.onConnectionLost(send('a')), 'listening');
+  assert.is(await detector.onConnectionLost(send('b')), 'ended');
   assert.equal(ends, [1]);
 });
 
 // Symptom: a request is held back though no upstream ended. Sequence: a cut refuses connections to three
 // upstreams, one after the other, and heals. Cause: behind a cut an upstream looks as if it had ended.
 test('turns out not to have ended when it answers what was sent since', async () => {
-  const { watch, countRevivals } = watchWith('refused');
+  const { detector, countRevivals } = createDetector('refused');
   const lost = send('a');
-  await watch.noteLoss(lost);
-  watch.noteServed(lost);
+  await detector.onConnectionLost(lost);
+  detector.onResponseStarted(lost);
   assert.is(countRevivals(), 0, 'bytes on the way when it ended');
-  watch.noteServed({ ...send('b'), sentAtMs: performance.now() + 1 });
+  detector.onResponseStarted({ ...send('b'), sentAtMs: performance.now() + 1 });
   assert.is(countRevivals(), 1);
-  assert.is(watch.endedAtMs, undefined);
+  assert.is(detector.exitedAtMs, undefined);
 });
 
 test.run();
--- a/packages/forwarding/src/upstreams/endWatch.ts
+++ b/packages/forwarding/src/upstreams/exitDetector.ts
@@ -18,15 +18,15 @@
 }
 
 /** `unknown`: nobody answered, as behind a cut. */
-export type EndVerdict = 'ended' | 'listening' | 'unknown';
+export type ExitVerdict = 'ended' | 'listening' | 'unknown';
 
-const verdicts: Readonly<Record<ProbeOutcome, EndVerdict>> = {
+const verdicts: Readonly<Record<ProbeOutcome, ExitVerdict>> = {
   refused: 'ended',
   listening: 'listening',
   silent: 'unknown',
 };
 
-export interface EndWatchOptions {
+export interface ExitDetectorOptions {
   probe(): Promise<ProbeOutcome>;
   /** Called once, with all that was at the upstream. */
   onEnd(lost: readonly SentRequest[]): void;
@@ -34,64 +34,64 @@
   onAlive(): void;
 }
 
-export class EndWatch {
-  readonly #options: EndWatchOptions;
+export class ExitDetector {
+  readonly #options: ExitDetectorOptions;
 
-  readonly #running = new Set<SentRequest>();
+  readonly #inFlight = new Set<SentRequest>();
 
   #lost: SentRequest[] = [];
 
-  #check: Promise<EndVerdict> | undefined;
+  #pendingProbe: Promise<ExitVerdict> | undefined;
 
-  #endedAtMs: number | undefined;
+  #exitedAtMs: number | undefined;
 
-  constructor(options: EndWatchOptions) {
+  constructor(options: ExitDetectorOptions) {
     this.#options = options;
   }
 
   /** Absent while the process is not known to have ended. */
-  get endedAtMs(): number | undefined {
-    return this.#endedAtMs;
+  get exitedAtMs(): number | undefined {
+    return this.#exitedAtMs;
   }
 
   /** Requests that are there now. */
-  get running(): Iterable<SentRequest> {
-    return this.#running;
+  get inFlight(): Iterable<SentRequest> {
+    return this.#inFlight;
   }
 
   /** The upstream itself has begun to answer the request. */
-  noteServed({ sentAtMs }: SentRequest): void {
-    if (this.#endedAtMs !== undefined && sentAtMs > this.#endedAtMs) {
-      this.#endedAtMs = undefined;
+  onResponseStarted({ sentAtMs }: SentRequest): void {
+    if (this.#exitedAtMs !== undefined && sentAtMs > this.#exitedAtMs) {
+      this.#exitedAtMs = undefined;
       this.#options.onAlive();
     }
   }
 
-  enter(request: SentRequest): void {
-    this.#running.add(request);
+  addRequest(request: SentRequest): void {
+    this.#inFlight.add(request);
   }
 
-  leave(request: SentRequest): void {
-    this.#running.delete(request);
+  removeRequest(request: SentRequest): void {
+    this.#inFlight.delete(request);
   }
 
   /** The request's connection was closed without a whole answer. Resolves with what the upstream did. */
-  noteLoss(request: SentRequest): Promise<EndVerdict> {
-    if (this.#endedAtMs !== undefined) {
+  onConnectionLost(request: SentRequest): Promise<ExitVerdict> {
+    if (this.#exitedAtMs !== undefined) {
       return Promise.resolve('ended');
     }
     this.#lost.push(request);
-    this.#check ??= this.#findOut();
-    return this.#check;
+    this.#pendingProbe ??= this.#probeProcess();
+    return this.#pendingProbe;
   }
 
-  async #findOut(): Promise<EndVerdict> {
+  async #probeProcess(): Promise<ExitVerdict> {
     const verdict = verdicts[await this.#options.probe()];
-    const lost = [...this.#lost, ...this.#running];
-    this.#check = undefined;
+    const lost = [...this.#lost, ...this.#inFlight];
+    this.#pendingProbe = undefined;
     this.#lost = [];
     if (verdict === 'ended') {
-      this.#endedAtMs = performance.now();
+      this.#exitedAtMs = performance.now();
       this.#options.onEnd(lost);
     }
     return verdict;
--- a/packages/forwarding/src/upstreams/index.ts
+++ b/packages/forwarding/src/upstreams/index.ts
@@ -1,9 +1,9 @@
-export { ColdGate, type ColdFleet } from './coldGate.js';
-export type { EndVerdict, SentRequest } from './endWatch.js';
+export { ColdGate, type FleetMembership } from './coldGate.js';
+export type { ExitVerdict, SentRequest } from './exitDetector.js';
 export { UpstreamDirectory } from './upstreamDirectory.js';
 export {
   UpstreamEntry,
-  type EndListener,
+  type ExitListener,
   type UpstreamEnd,
   type UpstreamOutcome,
 } from './upstreamEntry.js';
--- a/packages/forwarding/src/upstreams/upstreamDirectory.test.ts
+++ b/packages/forwarding/src/upstreams/upstreamDirectory.test.ts
@@ -29,8 +29,8 @@
   const directory = createDirectory(loads);
   directory.put(UPSTREAM);
   const before = directory.find('u-1');
-  before?.begin(500);
-  before?.noteOutcome('unreachable', 0);
+  before?.startRequest(500);
+  before?.recordOutcome('unreachable', 0);
   const reported = new Map([[before?.lifeId ?? '', { work: 900, requests: 3 }]]);
   const origin = { vm: 'vm', dataCentre: 'a', process: 1, sequence: 1 };
   const stamp = {
@@ -50,7 +50,7 @@
   assert.is(after?.failureShare, 0);
   assert.not(after?.isSuspect(1));
   assert.is(after?.upstream.softwareVersion, 'v2');
-  before?.finish(500);
+  before?.finishRequest(500);
   assert.is(after?.requests, 0);
 });
 
--- a/packages/forwarding/src/upstreams/upstreamDirectory.ts
+++ b/packages/forwarding/src/upstreams/upstreamDirectory.ts
@@ -2,9 +2,9 @@
 import { forgetOldest, type Logger, type RequestDigest } from '@snipehaven/common';
 import type { PeerLoads } from '../peers/index.js';
 import type { Upstream } from '../types.js';
-import { DataCentreWatch } from './dataCentreWatch.js';
-import type { SentRequest } from './endWatch.js';
-import { UpstreamEntry, type EndListener, type UpstreamEnd } from './upstreamEntry.js';
+import { DataCentreMonitor } from './dataCentreMonitor.js';
+import type { SentRequest } from './exitDetector.js';
+import { UpstreamEntry, type ExitListener, type UpstreamEnd } from './upstreamEntry.js';
 
 /**
  * Entries may lapse while the store is away though their upstreams live, and come back within about two
@@ -12,15 +12,18 @@
  * longer: it may as well have left without a word, and a daemon that was cut off alone is held to that
  * two seconds after the store took it down.
  */
-const LAPSE_GRACE_MS = 2_000;
+const RECONNECT_GRACE_MS = 2_000;
 
 /** Ids whose newest life is remembered, present or not; far more than a day's upstreams. */
-const MAX_REMEMBERED_LIVES = 4_096;
+const MAX_REMEMBERED_STARTS = 4_096;
 
 /** Requests named in the line of an upstream's end; a line is bounded, however many were lost. */
 const MAX_LOGGED_REQUESTS = 40;
 
-const describeSent = ({ attemptId, digest, sentAtMs, beganAtMs }: SentRequest, nowMs: number) => ({
+const describeRequest = (
+  { attemptId, digest, sentAtMs, beganAtMs }: SentRequest,
+  nowMs: number,
+) => ({
   request: attemptId,
   digest,
   sentForMs: Math.round(nowMs - sentAtMs),
@@ -33,9 +36,9 @@
   readonly #entries = new Map<string, UpstreamEntry>();
 
   /** By id, when its newest known life began. */
-  readonly #newestBirths = new Map<string, number>();
+  readonly #latestStarts = new Map<string, number>();
 
-  readonly #watch = new DataCentreWatch();
+  readonly #dataCentreMonitor = new DataCentreMonitor();
 
   /** Data centres to whose upstreams nothing more is sent. */
   readonly #evacuated = new Set<string>();
@@ -46,7 +49,7 @@
 
   readonly #peerLoads: PeerLoads;
 
-  #endListener: EndListener = { onEnd: () => {}, onAlive: () => {} };
+  #exitListener: ExitListener = { onEnd: () => {}, onAlive: () => {} };
 
   /** How long upstreams of a service stay cold after their start, in ms. */
   readonly #getWarmUpMs: (service: string) => number;
@@ -62,13 +65,15 @@
   }
 
   /** Calls back when an upstream's process ended, or turns out not to have. */
-  watchEnds(listener: EndListener): void {
-    this.#endListener = listener;
+  watchEnds(listener: ExitListener): void {
+    this.#exitListener = listener;
   }
 
   /** Tells requests of this digest that have begun nowhere that they are held back. */
   holdBack(digest: RequestDigest): void {
-    const sent = [...this.#entries.values()].flatMap(({ endWatch }) => [...endWatch.running]);
+    const sent = [...this.#entries.values()].flatMap(({ exitDetector: endWatch }) => [
+      ...endWatch.inFlight,
+    ]);
     sent.filter((one) => one.digest === digest).forEach((one) => one.onHeld());
   }
 
@@ -127,7 +132,7 @@
       );
       there.forEach((entry) => {
         const { coldMs = 0 } = entry.upstream;
-        entry.cold.note(Math.max(coldMs, this.#getWarmUpMs(entry.upstream.service)), nowMs);
+        entry.cold.markCold(Math.max(coldMs, this.#getWarmUpMs(entry.upstream.service)), nowMs);
       });
       this.#logger.info(
         { event: 'takenBack', dataCentre, upstreams: there.length },
@@ -168,25 +173,25 @@
 
   /** The store was out of reach: entries that it lost meanwhile are doubtful, not gone. */
   noteStoreBack(): void {
-    this.#graceUntilMs = performance.now() + LAPSE_GRACE_MS;
+    this.#graceUntilMs = performance.now() + RECONNECT_GRACE_MS;
   }
 
   put(upstream: Upstream): void {
-    if (this.#isOfEarlierLife(upstream)) {
+    if (this.#isStaleRow(upstream)) {
       this.#logger.info(
         { event: 'earlierLifeIgnored', upstream: upstream.id, bornAtMs: upstream.bornAtMs },
         'a row of an earlier life came late',
       );
       return;
     }
-    this.#rememberBirth(upstream);
-    this.#endEarlierLife(upstream);
+    this.#rememberStart(upstream);
+    this.#dropEarlierIncarnation(upstream);
     const entry = this.#entries.get(upstream.id);
     if (entry === undefined) {
       const created = this.#createEntry(upstream);
       this.#entries.set(upstream.id, created);
       this.#logger.info({ event: 'upstreamListed', upstream }, 'upstream listed');
-      this.#noteCold(created);
+      this.#markCold(created);
       return;
     }
     if (entry.upstream.state !== upstream.state) {
@@ -196,7 +201,7 @@
       );
     }
     entry.update(upstream);
-    this.#noteCold(entry);
+    this.#markCold(entry);
   }
 
   /** Its row can't be read: it names no upstream, however sure the list is otherwise. */
@@ -214,7 +219,7 @@
     }
     const waitMs = this.#graceUntilMs - performance.now();
     if (waitMs > 0 && entry.upstream.state === 'ready') {
-      this.#doubt(entry, waitMs);
+      this.#keepDoubtful(entry, waitMs);
       return;
     }
     this.#drop(entry);
@@ -229,21 +234,21 @@
   }
 
   #createEntry(upstream: Upstream): UpstreamEntry {
-    return new UpstreamEntry(upstream, this.#peerLoads, this.#watch, {
-      onEnd: (end) => this.#noteEnd(end),
-      onAlive: (lifeId) => this.#endListener.onAlive(lifeId),
+    return new UpstreamEntry(upstream, this.#peerLoads, this.#dataCentreMonitor, {
+      onEnd: (end) => this.#onExit(end),
+      onAlive: (lifeId) => this.#exitListener.onAlive(lifeId),
     });
   }
 
   /** Dated by when its word came: it is thought cold for somewhat longer than it is. */
-  #noteCold({ upstream, cold }: UpstreamEntry): void {
+  #markCold({ upstream, cold }: UpstreamEntry): void {
     const { id, coldMs = 0 } = upstream;
-    if (cold.note(coldMs, performance.now())) {
+    if (cold.markCold(coldMs, performance.now())) {
       this.#logger.info({ event: 'upstreamCold', upstream: id, coldMs }, 'an upstream is cold');
     }
   }
 
-  #noteEnd(end: UpstreamEnd): void {
+  #onExit(end: UpstreamEnd): void {
     const nowMs = performance.now();
     const { upstream, lifeId, isExpected, lost } = end;
     this.#logger.info(
@@ -255,26 +260,26 @@
         version: upstream.softwareVersion,
         isExpected,
         requests: lost.length,
-        lost: lost.slice(0, MAX_LOGGED_REQUESTS).map((one) => describeSent(one, nowMs)),
+        lost: lost.slice(0, MAX_LOGGED_REQUESTS).map((one) => describeRequest(one, nowMs)),
       },
       'an upstream ended with requests of ours',
     );
-    this.#endListener.onEnd(end);
+    this.#exitListener.onEnd(end);
   }
 
   /** A late row must not bring back an upstream that has ended, or started anew since. */
-  #isOfEarlierLife({ id, bornAtMs }: Upstream): boolean {
-    const newest = this.#newestBirths.get(id);
+  #isStaleRow({ id, bornAtMs }: Upstream): boolean {
+    const newest = this.#latestStarts.get(id);
     return newest !== undefined && (bornAtMs ?? 0) < newest;
   }
 
-  #rememberBirth({ id, bornAtMs }: Upstream): void {
+  #rememberStart({ id, bornAtMs }: Upstream): void {
     if (bornAtMs === undefined) {
       return;
     }
-    this.#newestBirths.delete(id);
-    this.#newestBirths.set(id, bornAtMs);
-    forgetOldest(this.#newestBirths, MAX_REMEMBERED_LIVES);
+    this.#latestStarts.delete(id);
+    this.#latestStarts.set(id, bornAtMs);
+    forgetOldest(this.#latestStarts, MAX_REMEMBERED_STARTS);
   }
 
   /**
@@ -282,7 +287,7 @@
    * connections of its earlier life. What still runs there keeps its own entry, and is judged by what
    * that life proves.
    */
-  #endEarlierLife(upstream: Upstream): void {
+  #dropEarlierIncarnation(upstream: Upstream): void {
     const entry = this.#entries.get(upstream.id);
     if (entry !== undefined && entry.upstream.bornAtMs !== upstream.bornAtMs) {
       this.#logger.info(
@@ -293,8 +298,8 @@
     }
   }
 
-  #doubt(entry: UpstreamEntry, waitMs: number): void {
-    entry.doubt();
+  #keepDoubtful(entry: UpstreamEntry, waitMs: number): void {
+    entry.markDoubtful();
     this.#logger.info(
       { event: 'upstreamDoubtful', upstream: entry.id, graceMs: Math.round(waitMs) },
       'upstream missing from the list after the store was away',
@@ -308,7 +313,7 @@
 
   #drop(entry: UpstreamEntry): void {
     this.#entries.delete(entry.id);
-    entry.unlist();
+    entry.markUnlisted();
     entry.pool.close();
     this.#logger.info({ event: 'upstreamGone', upstream: entry.id }, 'upstream gone');
   }
--- a/packages/forwarding/src/upstreams/upstreamEntry.ts
+++ b/packages/forwarding/src/upstreams/upstreamEntry.ts
@@ -2,15 +2,15 @@
 import { ConnectionPool } from '../exchange/index.js';
 import type { PeerLoads, UpstreamLoad } from '../peers/index.js';
 import type { Upstream } from '../types.js';
-import { ColdWatch } from './coldWatch.js';
-import { DataCentreWatch } from './dataCentreWatch.js';
-import { EndWatch, type SentRequest } from './endWatch.js';
+import { ColdState } from './coldState.js';
+import { DataCentreMonitor } from './dataCentreMonitor.js';
+import { ExitDetector, type SentRequest } from './exitDetector.js';
 
 /** Weight of the newest outcome in the share of failures; ten outcomes say most. */
 const FAILURE_SMOOTHING = 0.12;
 
 /** An upstream that refused a connection or was silent is left alone this long at first. */
-const FIRST_SUSPICION_MS = 800;
+const INITIAL_SUSPICION_MS = 800;
 const MAX_SUSPICION_MS = 3_000;
 
 export type UpstreamOutcome = 'answered' | 'failed' | 'refused' | 'unreachable';
@@ -24,7 +24,7 @@
   readonly lost: readonly SentRequest[];
 }
 
-export interface EndListener {
+export interface ExitListener {
   onEnd(end: UpstreamEnd): void;
   /** A life that was taken for ended serves. */
   onAlive(lifeId: string): void;
@@ -33,9 +33,9 @@
 export class UpstreamEntry {
   readonly pool: ConnectionPool;
 
-  readonly endWatch: EndWatch;
+  readonly exitDetector: ExitDetector;
 
-  readonly cold = new ColdWatch();
+  readonly cold = new ColdState();
 
   #upstream: Upstream;
 
@@ -47,7 +47,7 @@
 
   #suspectUntilMs = 0;
 
-  #suspicionMs = FIRST_SUSPICION_MS;
+  #suspicionMs = INITIAL_SUSPICION_MS;
 
   #lastBytesAtMs = 0;
 
@@ -57,23 +57,23 @@
 
   readonly #peerLoads: PeerLoads;
 
-  readonly #watch: DataCentreWatch;
+  readonly #dataCentreMonitor: DataCentreMonitor;
 
   constructor(
     upstream: Upstream,
     peerLoads: PeerLoads,
-    watch: DataCentreWatch = new DataCentreWatch(),
-    listener: EndListener = { onEnd: () => {}, onAlive: () => {} },
+    watch: DataCentreMonitor = new DataCentreMonitor(),
+    listener: ExitListener = { onEnd: () => {}, onAlive: () => {} },
   ) {
     this.#upstream = upstream;
     this.#peerLoads = peerLoads;
-    this.#watch = watch;
+    this.#dataCentreMonitor = watch;
     this.pool = new ConnectionPool(upstream.host, upstream.port);
-    this.endWatch = new EndWatch({
+    this.exitDetector = new ExitDetector({
       probe: () => this.pool.probe(),
       onEnd: (lost) => {
         this.#suspectUntilMs = performance.now() + MAX_SUSPICION_MS;
-        listener.onEnd(this.#describeEnd(lost));
+        listener.onEnd(this.#describeExit(lost));
       },
       onAlive: () => listener.onAlive(this.lifeId),
     });
@@ -125,16 +125,16 @@
     return (
       this.#isDoubtful ||
       nowMs < this.#suspectUntilMs ||
-      this.#watch.isSuspect(this.#upstream.dataCentre, nowMs)
+      this.#dataCentreMonitor.isSuspect(this.#upstream.dataCentre, nowMs)
     );
   }
 
-  doubt(): void {
+  markDoubtful(): void {
     this.#isDoubtful = true;
   }
 
   /** The list does not name it any more; requests may still run there. */
-  unlist(): void {
+  markUnlisted(): void {
     this.#isListed = false;
   }
 
@@ -144,45 +144,45 @@
     this.#upstream = upstream;
   }
 
-  begin(work: number): void {
-    this.cold.noteSent(performance.now());
+  startRequest(work: number): void {
+    this.cold.recordSent(performance.now());
     this.#requests += 1;
     this.#work += work;
   }
 
   /** Part of a request's work is done. */
-  reduce(work: number): void {
+  reduceWork(work: number): void {
     this.#work -= work;
   }
 
   /** A request ended, with this much of its work still counted. */
-  finish(work: number): void {
+  finishRequest(work: number): void {
     this.#requests -= 1;
     this.#work = this.#requests === 0 ? 0 : this.#work - work;
   }
 
-  noteBytes(nowMs: number): void {
+  recordActivity(nowMs: number): void {
     this.#lastBytesAtMs = nowMs;
-    this.#watch.noteAlive(this.#upstream.dataCentre);
+    this.#dataCentreMonitor.recordActivity(this.#upstream.dataCentre);
     this.#suspectUntilMs = 0;
-    this.#suspicionMs = FIRST_SUSPICION_MS;
+    this.#suspicionMs = INITIAL_SUSPICION_MS;
   }
 
-  noteOutcome(outcome: UpstreamOutcome, nowMs: number): void {
+  recordOutcome(outcome: UpstreamOutcome, nowMs: number): void {
     const failed = outcome === 'failed' || outcome === 'unreachable' ? 1 : 0;
     this.#failureShare += (failed - this.#failureShare) * FAILURE_SMOOTHING;
     if (outcome === 'unreachable') {
       this.#suspectUntilMs = nowMs + this.#suspicionMs;
       this.#suspicionMs = Math.min(MAX_SUSPICION_MS, this.#suspicionMs * 2);
-      this.#watch.noteSilent(this.#upstream.dataCentre, this.lifeId, nowMs);
-      this.pool.dropIdle();
+      this.#dataCentreMonitor.recordUnreachable(this.#upstream.dataCentre, this.lifeId, nowMs);
+      this.pool.closeIdle();
     }
     if (outcome === 'refused') {
-      this.#suspectUntilMs = Math.max(this.#suspectUntilMs, nowMs + FIRST_SUSPICION_MS / 8);
+      this.#suspectUntilMs = Math.max(this.#suspectUntilMs, nowMs + INITIAL_SUSPICION_MS / 8);
     }
   }
 
-  #describeEnd(lost: readonly SentRequest[]): UpstreamEnd {
+  #describeExit(lost: readonly SentRequest[]): UpstreamEnd {
     const isExpected = !this.#isListed || this.#isDoubtful || this.#upstream.state !== 'ready';
     return { upstream: this.#upstream, lifeId: this.lifeId, isExpected, lost };
   }
