--- a/packages/forwarding/src/runs/attempt.ts
+++ b/packages/forwarding/src/runs/attempt.ts
@@ -1,4 +1,4 @@
-/** One sending of a request to one upstream: load accounting, silence, outcome. */
+/** Sends a request to one upstream and tracks its load, silence and outcome. */
 import type { RequestDigest } from '@snipehaven/common';
 import {
   MIN_SILENCE_MS,
@@ -36,16 +36,16 @@
   readonly teamPriority: number | undefined;
   readonly lastEventId: number | undefined;
   readonly remainingMs: number;
-  /** Continues an answer of which the caller has a part. */
+  /** Resumes a response of which the caller has received a part. */
   readonly isResumed: boolean;
 }
 
 export interface AttemptListener extends ExchangeListener {
-  /** True when the attempt was given up for it. */
+  /** Returns true if the attempt was abandoned because of the silence. */
   onSilence(silentMs: number): boolean;
-  /** Of what is asked; worked out only when it is asked for. */
+  /** Digest of the request content; computed on first use. */
   readonly digest: RequestDigest;
-  /** The request is held back; this attempt has not begun to be answered. */
+  /** Called when the request is held back and this attempt's response has not begun. */
   onHeld(): void;
 }
 
@@ -87,10 +87,10 @@
 
   #isLoadCounted = false;
 
-  /** Work still counted at the upstream. */
+  /** Work still counted in the upstream's load. */
   #countedWork = 0;
 
-  /** Nothing proves that the upstream did not run it. */
+  /** False only if it is certain that the upstream did not run the request. */
   #mayHaveRun = false;
 
   constructor(
@@ -148,7 +148,7 @@
     return this.#beganAtMs;
   }
 
-  /** Until the upstream's answer began; absent before. */
+  /** Time until the response headers arrived; undefined before. */
   get headMs(): number | undefined {
     return this.#headMs;
   }
@@ -172,14 +172,17 @@
     this.#exchange.pause();
   }
 
-  /** The caller reads again; the upstream could not be heard meanwhile. */
+  /**
+   * Resumes reading. The silence timer restarts, as nothing was read from the upstream while
+   * paused.
+   */
   resume(): void {
     this.#lastHeardAtMs = performance.now();
     this.#armSilenceTimer();
     this.#exchange.resume();
   }
 
-  /** What the upstream did to a request that was lost there. */
+  /** Whether the upstream process exited, after this request was lost there. */
   get exitVerdict(): Promise<ExitVerdict> {
     return this.#exitVerdict;
   }
@@ -190,19 +193,18 @@
     }
   }
 
-  /** Notes how the upstream did. */
   recordOutcome(outcome: UpstreamOutcome): void {
     this.#plan.entry.recordOutcome(outcome, performance.now());
     this.#reporter.reportOutcome(outcome);
   }
 
-  /** Lets the exchange end by itself; its bytes are of no more use. */
+  /** Ignores the rest of the exchange, which ends by itself. */
   detach(): void {
     this.#isListening = false;
     clearTimeout(this.#silenceTimer);
   }
 
-  /** Ends the work at the upstream. */
+  /** Cancels the request at the upstream by closing its connection. */
   abort(): void {
     this.detach();
     this.#releaseLoad();
@@ -286,7 +288,10 @@
     }
   }
 
-  /** An upstream that ended says nothing of its version with each request that it took with it. */
+  /**
+   * Reports a failure to the roll-out only if the upstream process did not exit: one exit would
+   * otherwise count against its version once for each request lost with it.
+   */
   async #settleLoss(): Promise<void> {
     this.#plan.entry.recordOutcome('failed', performance.now());
     if ((await this.#exitVerdict) !== 'ended') {
@@ -313,7 +318,8 @@
       this.#armSilenceTimer();
       return;
     }
-    // An engine that serves others keeps this request waiting; moving it would lose its place.
+    // An engine that sends bytes to other requests has this one queued; moving it would lose its
+    // position in the queue.
     const isAlive = nowMs - this.#plan.entry.lastBytesAtMs < RECENT_ACTIVITY_MS;
     const isWaitingInLine =
       this.#plan.route.kind === 'stream' && isAlive && silentMs < this.#silenceMs * 2;
--- a/packages/forwarding/src/runs/buildRefusal.ts
+++ b/packages/forwarding/src/runs/buildRefusal.ts
@@ -1,8 +1,8 @@
-/** When a refused caller may come back. */
+/** Builds refusals with their Retry-After time. */
 import { BUSY_RETRY_AFTER_S, NOT_READY_RETRY_AFTER_S } from '../constants.js';
 import type { Refusal, RefusalReason } from './types.js';
 
-/** Usual times, said only where the request has not run. */
+/** Default retry times, given only for reasons that guarantee that the request has not run. */
 const defaultRetryAfterS: Readonly<Partial<Record<RefusalReason, number>>> = {
   notReady: NOT_READY_RETRY_AFTER_S,
   noUpstream: NOT_READY_RETRY_AFTER_S,
@@ -10,7 +10,7 @@
   deadlineNotRun: BUSY_RETRY_AFTER_S,
 };
 
-/** `knownAfterS`: a time that is known better than the usual one. */
+/** `knownAfterS` replaces the default retry time when a more accurate one is known. */
 export const buildRefusal = (reason: RefusalReason, knownAfterS?: number): Refusal => {
   const after = knownAfterS ?? defaultRetryAfterS[reason];
   return after === undefined ? { reason } : { reason, retryAfterS: after };
--- a/packages/forwarding/src/runs/callerRequest.ts
+++ b/packages/forwarding/src/runs/callerRequest.ts
@@ -1,4 +1,4 @@
-/** One attempt of a caller, read whole. */
+/** One caller attempt with its complete body. */
 import type { HeaderMap, RequestOptions } from '../types.js';
 
 export interface CallerRequest {
--- a/packages/forwarding/src/runs/constants.ts
+++ b/packages/forwarding/src/runs/constants.ts
@@ -1,4 +1,7 @@
-/** Times of runs. */
+/** Time limits of request runs. */
 
-/** An upstream that sent bytes on any connection this recently is alive; a request may just wait there. */
+/**
+ * An upstream that sent bytes on any connection within this time is alive; a silent request may
+ * just be queued there.
+ */
 export const RECENT_ACTIVITY_MS = 700;
--- a/packages/forwarding/src/runs/dependencies.ts
+++ b/packages/forwarding/src/runs/dependencies.ts
@@ -1,4 +1,4 @@
-/** What all runs of a daemon share. */
+/** Dependencies shared by all request runs of a daemon. */
 import type { Logger, Random } from '@snipehaven/common';
 import type { ModelDemand, RepeatBudget, WorkPace } from '@snipehaven/policy';
 import type { ConfigurationHolder } from '../configuration/configurationHolder.js';
@@ -11,24 +11,27 @@
 export interface ForwardDependencies {
   readonly configuration: ConfigurationHolder;
   readonly directory: UpstreamDirectory;
-  /** Of what may go to cold upstreams. */
+  /** Limits the request rate to cold upstreams. */
   readonly coldGate: ColdGate;
   readonly dialect: HeaderDialect;
   readonly rollouts: RolloutGuide;
-  /** Upstreams that ended, and requests that are held back for it. */
+  /** Upstreams whose process exited, and requests held back as the suspected cause. */
   readonly crashes: CrashBook;
   readonly metrics: ForwardMetrics;
   readonly logger: Logger;
   readonly random: Random;
   readonly localDataCentre: string;
-  /** The budget of a service, shared by its requests at this daemon. */
+  /** The retry budget of a service, shared by its requests at this daemon. */
   getRepeatBudget(service: string): RepeatBudget;
-  /** How fast the service's engines read. */
+  /** The measured prompt processing speed of the service's engines. */
   getWorkPace(service: string): WorkPace;
-  /** What each model of the service needs of its upstreams. */
+  /** The upstream capacity that each model of the service needs. */
   getModelDemand(service: string): ModelDemand;
-  /** Work was sent to an upstream; other daemons may have to know at once. */
+  /** Called when work was sent to an upstream, as other daemons may have to learn of it at once. */
   notePlaced(work: number): void;
-  /** Keyed requests are refused when the configuration was confirmed longer ago, in ms. */
+  /**
+   * Maximum age of the last confirmation of the configuration, in ms; beyond it requests with a key
+   * are refused.
+   */
   readonly maxKeyAgeMs: number;
 }
--- a/packages/forwarding/src/runs/describePlacement.ts
+++ b/packages/forwarding/src/runs/describePlacement.ts
@@ -1,4 +1,4 @@
-/** For the log: where a request was sent, and what was believed then. */
+/** Log fields of a placement: the upstream chosen and the state on which the choice was based. */
 import type { ForwardDependencies } from './dependencies.js';
 import type { Placement } from './findPlacement.js';
 import type { PlacementQuery } from './placementQuery.js';
--- a/packages/forwarding/src/runs/estimateWork.ts
+++ b/packages/forwarding/src/runs/estimateWork.ts
@@ -1,29 +1,34 @@
-/** How much of an upstream a request takes. */
+/** Estimates the load that a request puts on an upstream. */
 import type { ForwardRoute, RequestOptions, ServicePool } from '../types.js';
 
 /**
- * Work of one request. For engines in prompt tokens of the pool's dearest model; for plain services one
- * request is 1.
+ * Work of one request. For engines it is counted in prompt tokens of the pool's most expensive
+ * model; for plain services each request counts as 1.
  */
 export interface Work {
-  /** Until the answer begins, where no part of the prompt is kept. */
+  /** Work until the answer begins, if no part of the prompt is cached. */
   readonly own: number;
-  /** Reading the parts that other requests share. */
+  /** Work to process the prompt parts shared with other requests. */
   readonly shared: number;
-  /** From the answer's beginning to its end. */
+  /** Work from the beginning of the answer to its end. */
   readonly running: number;
 }
 
-/** What a request adds to an engine's steps beside its prompt, in prompt tokens. */
+/** Fixed cost that a request adds to an engine's steps besides its prompt, in prompt tokens. */
 const STEP_TOKENS = 40;
 
-/** An engine writes many answers at once: a token of one delays a new prompt by about this many tokens.
- * An estimate; the engines do not tell. */
+/**
+ * Delay of a new prompt caused by each output token of a running answer, in prompt tokens: an
+ * engine generates many answers in one batch. An estimate, as engines do not report it.
+ */
 const DELAY_PER_OUTPUT_TOKEN = 0.5;
 
 const PLAIN_WORK: Work = { own: 1, shared: 0, running: 1 };
 
-/** Cost per token stands for the time that a model takes, relative to the pool's dearest one. */
+/**
+ * Uses the cost per token as a proxy for the time a model takes, relative to the pool's most
+ * expensive one.
+ */
 const getRelativeModelCost = (service: ServicePool, model: string | undefined): number => {
   const models = service.engine?.models ?? [];
   const largest = Math.max(...models.map(({ costPer1000Tokens }) => costPer1000Tokens));
--- a/packages/forwarding/src/runs/eventSplitter.ts
+++ b/packages/forwarding/src/runs/eventSplitter.ts
@@ -1,6 +1,6 @@
 /**
- * Splits the bytes of an event stream after whole events. A half event is held back: when its
- * upstream is lost, a resumed run sends that event again, and the caller must not see it twice.
+ * Splits an event stream at event boundaries. An incomplete event is held back: if its upstream is
+ * lost, the resumed stream sends that event again, and the caller must not see it twice.
  */
 
 const NEWLINE = 0x0a;
@@ -9,11 +9,11 @@
 
 export interface CompleteEvents {
   readonly bytes: Buffer;
-  /** The last numbered event among them. */
+  /** Id of the last numbered event among them. */
   readonly lastEventId?: number;
 }
 
-/** The index after the last blank line, 0 if there is none. */
+/** Index after the last blank line; 0 if there is none. */
 const findEndOfCompleteEvents = (bytes: Buffer): number => {
   for (let index = bytes.length - 1; index > 0; index -= 1) {
     if (bytes[index] === NEWLINE) {
@@ -47,7 +47,7 @@
 export class EventSplitter {
   #partial: Buffer = Buffer.alloc(0);
 
-  /** The whole events that the bytes complete. */
+  /** Returns the events that these bytes complete. */
   push(bytes: Buffer): CompleteEvents {
     const all = this.#partial.length > 0 ? Buffer.concat([this.#partial, bytes]) : bytes;
     const end = findEndOfCompleteEvents(all);
@@ -57,7 +57,7 @@
     return { bytes: whole, ...(lastEventId === undefined ? {} : { lastEventId }) };
   }
 
-  /** What is left after the last whole event; forgotten by this. */
+  /** Returns and clears what is left after the last complete event. */
   takeRest(): Buffer {
     const rest = this.#partial;
     this.#partial = Buffer.alloc(0);
--- a/packages/forwarding/src/runs/findLargerModel.ts
+++ b/packages/forwarding/src/runs/findLargerModel.ts
@@ -1,4 +1,7 @@
-/** Whether an answer of which its model is unsure is asked for again, of which model, and at what price. */
+/**
+ * Decides whether a low-confidence answer is escalated to a larger model, which one, and at what
+ * cost.
+ */
 import { chooseNextModel, isAlwaysSure } from '@snipehaven/policy';
 import type { CallerRequest } from './callerRequest.js';
 import type { ForwardDependencies } from './dependencies.js';
@@ -20,13 +23,16 @@
   readonly resolved: ResolvedRequest;
   readonly service: string;
   readonly model: string | undefined;
-  /** Of the model in its answer, 0 to 100. */
+  /** Reported by the model with its answer, 0 to 100. */
   readonly confidence: number | undefined;
   readonly usedUpstreams: ReadonlySet<string>;
   readonly canAttemptAgain: boolean;
 }
 
-/** What waits at the best upstream for the largest model, and when an answer of it would begin there. */
+/**
+ * Queueing time at the best upstream for the largest model, and the expected start of its answer
+ * there.
+ */
 const estimateStart = (
   dependencies: ForwardDependencies,
   { request: { options }, resolved: { route }, service, usedUpstreams }: EscalationInput,
@@ -43,7 +49,7 @@
       };
 };
 
-/** Undefined when the currentModel answer is the one that the caller gets. */
+/** Returns undefined when the current answer should go to the caller. */
 export const findLargerModel = (
   dependencies: ForwardDependencies,
   answer: EscalationInput,
--- a/packages/forwarding/src/runs/findPlacement.ts
+++ b/packages/forwarding/src/runs/findPlacement.ts
@@ -1,4 +1,4 @@
-/** Turns the directory's entries into candidates and lets the policy choose among them. */
+/** Chooses the upstream for a request from the entries of the directory. */
 import type { RequestDigest } from '@snipehaven/common';
 import { choosePlace, chooseSuspectPlace, type PlaceCandidate } from '@snipehaven/policy';
 import type { UpstreamEntry } from '../upstreams/index.js';
@@ -14,12 +14,12 @@
 
 export interface Placement {
   readonly entry: UpstreamEntry;
-  /** Until the answer begins, and from then to its end; see `Work`. */
+  /** Work until the answer begins; `runWork` from then to its end. See `Work`. */
   readonly startWork: number;
   readonly runWork: number;
-  /** Work at the upstream until the answer begins, its own among it. */
+  /** Work at the upstream until the answer begins, including the request's own. */
   readonly workAhead: number;
-  /** Work at an upstream that the request may go to, in the mean. */
+  /** Mean backlog of the candidate upstreams. */
   readonly meanBacklog: number;
 }
 
@@ -38,13 +38,16 @@
   isSuspect: entry.isSuspect(nowMs),
 });
 
-/** The last part that other requests share, for the model that is to read it. */
+/**
+ * Identifies the longest prompt prefix shared with other requests, and the model that is to process
+ * it.
+ */
 const getAffinityKey = ({ options, model }: PlacementQuery): string | undefined => {
   const shared = options.promptParts.at(-2);
   return shared === undefined ? undefined : `${model ?? ''}|${shared.id}`;
 };
 
-/** Undefined where all upstreams are thought dead: then any may be tried, as for other requests. */
+/** Undefined when all upstreams are believed dead: the request is then placed like any other. */
 const findEntryForSuspectRequest = (
   digest: RequestDigest,
   entries: readonly UpstreamEntry[],
--- a/packages/forwarding/src/runs/forwardRun.ts
+++ b/packages/forwarding/src/runs/forwardRun.ts
@@ -1,4 +1,4 @@
-/** One caller attempt, from its whole request to its final answer. */
+/** Handles one caller attempt, from the complete request to the final response. */
 import { sleep, type RequestDigest } from '@snipehaven/common';
 import {
   isUnspent,
@@ -26,7 +26,10 @@
 import { isRefused, resolveRequest, type ResolvedRequest } from './resolveRequest.js';
 import type { CallerPort, RefusalReason } from './types.js';
 
-/** The upstream's machine answers within a round trip; longer means that nobody will say. */
+/**
+ * Wait for the probe of an upstream's process. Its machine answers within a round trip; after a
+ * longer time no answer is to be expected.
+ */
 const EXIT_PROBE_WAIT_MS = 100;
 
 const MS_PER_S = 1_000;
@@ -60,12 +63,12 @@
 
   #model: string | undefined;
 
-  /** Of the model in the answer that the caller gets, 0 to 100. */
+  /** Confidence that the model reported for the relayed answer, 0 to 100. */
   #confidence: number | undefined;
 
   readonly #timing: ResponseTiming;
 
-  /** Of the answer that the caller gets. */
+  /** HTTP status of the relayed response. */
   #status: number | undefined;
 
   #countedAttempts = 0;
@@ -117,7 +120,7 @@
     this.#send(service);
   }
 
-  /** The caller closed its connection: nobody waits for the answer any more. */
+  /** Called when the caller closed its connection, as nobody waits for the response any more. */
   cancel(): void {
     if (!this.#isFinished) {
       this.#log('callerGone', { attempts: this.#countedAttempts });
@@ -171,14 +174,17 @@
     void this.#retryOrConcludeAfterLoss(cause);
   }
 
-  /** Other daemons saw upstreams end under the same request. */
+  /** Called when upstream exits seen by other daemons cause the request to be held back. */
   onHeld(): void {
     this.#attempt?.abort();
     this.#mayHaveRun = true;
     this.#concludeFailure('held');
   }
 
-  /** The upstream has been silent for long; a run that may be repeated moves on. */
+  /**
+   * Called when the upstream has been silent for too long; a repeatable request moves to another
+   * one.
+   */
   onSilence(silentMs: number): boolean {
     if (!isRepeatable(this.#resolved.route) || !this.#canTryAgain('unknown')) {
       return false;
@@ -249,8 +255,9 @@
   }
 
   /**
-   * A request that ended its upstream must not be at the next one before that is known. An answer of the
-   * machine takes a round trip; a caller whose request can't be repeated is not kept waiting for it.
+   * Waits for the probe of the lost upstream before retrying: a request that made its upstream exit
+   * must not reach the next one before this is known. The machine's answer takes a round trip;
+   * callers whose requests cannot be repeated are not kept waiting for it.
    */
   async #retryOrConcludeAfterLoss(cause: string): Promise<void> {
     if (this.#canTryAgain('unknown')) {
@@ -302,7 +309,9 @@
     return this.#dependencies.getRepeatBudget(service).tryRepeat(purpose, performance.now());
   }
 
-  /** Looks route and key up again: while the request waited, a new version may have come into force. */
+  /**
+   * Resolves route and key again, as the configuration may have changed while the request waited.
+   */
   #refreshRoute(): RefusalReason | undefined {
     const { table } = this.#dependencies.configuration;
     const { host, target, options } = this.#request;
@@ -321,13 +330,16 @@
     return pickTarget(this.#resolved.route.targets, this.#dependencies.random.next());
   }
 
-  /** Undefined while the request may be sent. */
+  /** The hold on this request; undefined while it may be sent. */
   get #hold(): Hold | undefined {
     const { crashes } = this.#dependencies;
     return crashes.isEmpty ? undefined : crashes.findHold(this.digest);
   }
 
-  /** A failure proves nothing: an upstream may answer with one before it has begun. */
+  /**
+   * Reports a success, which clears the request of suspicion. A failure status does not: an
+   * upstream may return one before it has started the request.
+   */
   #reportSuccess(): void {
     if (isSuccess(this.#status ?? 0)) {
       this.#dependencies.crashes.noteAnswered(this.digest);
@@ -410,7 +422,10 @@
     );
   }
 
-  /** Ends without an upstream's whole answer; a request that may have run is never called not run. */
+  /**
+   * Ends the run without a complete upstream response; a request that may have run is never
+   * reported as not run.
+   */
   #concludeFailure(reason: RefusalReason, knownAfterS?: number): void {
     if (this.#isFinished) {
       return;
--- a/packages/forwarding/src/runs/listCandidates.ts
+++ b/packages/forwarding/src/runs/listCandidates.ts
@@ -1,4 +1,4 @@
-/** The upstreams that a request may be sent to now, and when one will be free where there is none. */
+/** Lists the upstreams that a request may be sent to now, and how long to wait if there is none. */
 import type { UpstreamEntry } from '../upstreams/index.js';
 import type { ForwardDependencies } from './dependencies.js';
 import type { PlacementQuery } from './placementQuery.js';
@@ -10,8 +10,8 @@
   rollouts.filterUpstreams(service, options, directory.listReady(service));
 
 /**
- * None where those that are thought to live take no more just now, as they are cold: a request is refused
- * then, not lost on an upstream that is thought dead.
+ * Returns none when all upstreams believed healthy are cold and at their limit: the request is then
+ * refused instead of being lost on an upstream believed dead.
  */
 export const listCandidates = (
   dependencies: ForwardDependencies,
@@ -30,14 +30,17 @@
   return unused.length > 0 ? unused : ready;
 };
 
-/** In ms until the session expires, if its version is evacuated; undefined otherwise. */
+/** Time in ms until the session expires, if its version is evacuated; undefined otherwise. */
 export const findSessionExpiryWait = (
   { directory, rollouts }: ForwardDependencies,
   { service, options }: PlacementQuery,
 ): number | undefined =>
   rollouts.findSessionExpiryWaitMs(service, options, directory.listReady(service));
 
-/** In ms until a cold upstream takes one more; undefined where no cold one is among those allowed. */
+/**
+ * Time in ms until a cold upstream accepts one more request; undefined if none of the allowed
+ * upstreams is cold.
+ */
 export const findWarmUpWait = (
   dependencies: ForwardDependencies,
   query: PlacementQuery,
--- a/packages/forwarding/src/runs/placementCosts.ts
+++ b/packages/forwarding/src/runs/placementCosts.ts
@@ -1,24 +1,33 @@
-/** Where a service's upstreams are and how busy, as far as it counts in choosing one. */
+/** Costs of the location and load of a service's upstreams, for choosing among them. */
 import { getLeaveMs, type Lane, type WorkPace } from '@snipehaven/policy';
 import type { ForwardRoute } from '../types.js';
 import type { UpstreamEntry } from '../upstreams/index.js';
 import type { ForwardDependencies } from './dependencies.js';
 
-/** Half of a small service's places. */
+/**
+ * Penalty for a plain service's upstream in another data centre, in requests: half the slots of a
+ * small service.
+ */
 const PLAIN_REMOTE_PENALTY = 3;
 
 /**
- * Each ms of the round trip to another data centre counts as this much of an engine's time: the farther
- * bytes go the more they cost, and the likelier the way there fails. At 1 to 3 ms that is less than the
- * largest model takes for a shared part and more than the smallest one does. In tokens no constant fits
- * engines of unlike pace.
+ * Engine time charged per ms of round trip to another data centre: distance adds cost and makes a
+ * network failure likelier. At round trips of 1 to 3 ms this is less than the largest model takes
+ * for a shared prompt part and more than the smallest one takes. A constant in tokens would not
+ * suit engines of different speeds.
  */
 const REMOTE_MS_PER_ROUND_TRIP_MS = 25;
 
-/** Until a connection to another data centre was made: a neighbour in the same region. */
+/**
+ * Assumed until a connection to another data centre has been measured: a neighbour in the same
+ * region.
+ */
 const DEFAULT_ROUND_TRIP_MS = 2;
 
-/** In ms to each data centre, by the nearest of its upstreams; Infinity before a connection was made. */
+/**
+ * Shortest round trip to the upstreams of each data centre in ms; Infinity before the first
+ * connection.
+ */
 const getShortestRoundTrips = (entries: readonly UpstreamEntry[]): ReadonlyMap<string, number> => {
   const roundTrips = new Map<string, number>();
   for (const { upstream, pool } of entries) {
@@ -29,7 +38,7 @@
   return roundTrips;
 };
 
-/** What the way to the upstream costs, in its backlog's unit. */
+/** Cost of the network distance to the upstream, in the unit of its backlog. */
 type GetRemotePenalty = (entry: UpstreamEntry) => number;
 
 const isLocal = ({ localDataCentre }: ForwardDependencies, { upstream }: UpstreamEntry): boolean =>
@@ -45,7 +54,7 @@
   pace: WorkPace,
   entries: readonly UpstreamEntry[],
 ): GetRemotePenalty => {
-  // Once a data centre, not once an upstream: each estimate adds up what the whole fleet learned.
+  // Computed per data centre, not per upstream: each estimate aggregates the samples of all daemons.
   const penalties = new Map<string, number>();
   for (const [dataCentre, measuredMs] of getShortestRoundTrips(entries)) {
     const roundTripMs = Number.isFinite(measuredMs) ? measuredMs : DEFAULT_ROUND_TRIP_MS;
@@ -55,21 +64,23 @@
     isLocal(dependencies, entry) ? 0 : (penalties.get(entry.upstream.dataCentre) ?? 0);
 };
 
-/** As much of a place's question as concerns its surroundings. */
+/** The part of a placement query that the costs depend on. */
 interface EnginePlacementQuery {
   readonly service: string;
   readonly route: ForwardRoute;
   readonly model: string | undefined;
 }
 
-/** What depends on where the service's upstreams are and how busy. */
+/**
+ * Inputs to the upstream choice that depend on the location and load of the service's upstreams.
+ */
 export interface PlacementCosts {
   readonly getRemotePenalty: GetRemotePenalty;
   readonly leavePenalty: number;
   readonly lane?: Lane;
 }
 
-/** The upstreams that a request may go to, and the work at one of them in the mean. */
+/** Candidate upstreams and their mean backlog. */
 export interface CandidateLoad {
   readonly entries: readonly UpstreamEntry[];
   readonly meanBacklog: number;
@@ -78,7 +89,7 @@
 export const getMeanBacklog = (entries: readonly UpstreamEntry[]): number =>
   entries.reduce((sum, { backlog }) => sum + backlog, 0) / Math.max(1, entries.length);
 
-/** Of engines. */
+/** For engines; penalties are converted to work by the measured speed. */
 export const getEnginePlacementCosts = (
   dependencies: ForwardDependencies,
   { service, route, model }: EnginePlacementQuery,
@@ -95,7 +106,7 @@
   };
 };
 
-/** Of plain services, which read no prompts and have no models. */
+/** For plain services, which process no prompts and have no models. */
 export const getPlainPlacementCosts = (dependencies: ForwardDependencies): PlacementCosts => ({
   getRemotePenalty: createPlainPenalty(dependencies),
   leavePenalty: 0,
--- a/packages/forwarding/src/runs/placementQuery.ts
+++ b/packages/forwarding/src/runs/placementQuery.ts
@@ -1,4 +1,4 @@
-/** What is to be placed at an upstream. */
+/** Input for choosing an upstream for a request. */
 import type { RequestDigest } from '@snipehaven/common';
 import type { ForwardRoute, RequestOptions } from '../types.js';
 
@@ -7,8 +7,8 @@
   readonly route: ForwardRoute;
   readonly options: RequestOptions;
   readonly model: string | undefined;
-  /** Lives of upstreams, as `UpstreamEntry.lifeId`. */
+  /** Incarnations of upstreams that this request was already sent to, as `UpstreamEntry.lifeId`. */
   readonly usedUpstreams: ReadonlySet<string>;
-  /** Of a request under which an upstream ended; absent for all others. */
+  /** Digest of a request during which an upstream process exited; absent for all others. */
   readonly suspectDigest?: RequestDigest | undefined;
 }
--- a/packages/forwarding/src/runs/refusals.ts
+++ b/packages/forwarding/src/runs/refusals.ts
@@ -1,4 +1,7 @@
-/** Status and meaning of each refusal. 401, 404, 429 and 503 promise that the request has not run. */
+/**
+ * HTTP status and message of each refusal. 401, 404, 429 and 503 guarantee that the request has not
+ * run.
+ */
 import type { RefusalReason } from './types.js';
 
 export interface RefusalForm {
@@ -27,12 +30,12 @@
   upstreamFailed: { status: 502, message: 'the upstream failed; the request may have run' },
 };
 
-/** What a caller is told whose request may have run; of all other reasons, that the upstream failed. */
+/** Reasons reported when the request may have run; any other reason becomes `upstreamFailed`. */
 const reasonsAfterRun: Readonly<Partial<Record<RefusalReason, RefusalReason>>> = {
   deadline: 'deadline',
   held: 'heldAfterRun',
 };
 
-/** A request that may have run is never called not run. */
+/** Maps a reason so that a request that may have run is never reported as not run. */
 export const toReasonAfterRun = (reason: RefusalReason): RefusalReason =>
   reasonsAfterRun[reason] ?? 'upstreamFailed';
--- a/packages/forwarding/src/runs/relays.ts
+++ b/packages/forwarding/src/runs/relays.ts
@@ -1,4 +1,4 @@
-/** How an answer's bytes go to the caller: held until whole, or event by event. */
+/** Relays response bytes to the caller: buffered until complete, or event by event. */
 import { MAX_HELD_ANSWER_BYTES } from '../constants.js';
 import type { ResponseFraming, ResponseHead } from '../exchange/index.js';
 import type { HeaderDialect, RouteKind } from '../types.js';
@@ -6,19 +6,24 @@
 import type { CallerPort } from './types.js';
 
 export interface ResponseRelay {
-  /** Whether the caller has got a part of the answer. */
+  /** Whether the caller has received part of the response. */
   readonly hasBegun: boolean;
   readonly lastEventId: number | undefined;
-  /** An answer starts; of resumed ones only the events are used. */
+  /**
+   * A response starts. When a stream is resumed, only the events of the new response are relayed.
+   */
   begin(head: ResponseHead): void;
-  /** False when the caller reads more slowly than bytes come. */
+  /** False when the caller reads more slowly than bytes arrive. */
   relay(bytes: Buffer): boolean;
   finish(): void;
-  /** The present answer is given up; what the caller does not have yet is forgotten. */
+  /** Abandons the current response and drops what has not been sent to the caller. */
   discardPending(): void;
 }
 
-/** Holds a whole answer, so that one that breaks can be asked for again. Large ones pass through. */
+/**
+ * Buffers the complete response, so that a broken one can be requested again. A response above
+ * `MAX_HELD_ANSWER_BYTES` is passed through.
+ */
 export class BufferingRelay implements ResponseRelay {
   readonly #port: CallerPort;
 
@@ -81,7 +86,7 @@
   }
 }
 
-/** Passes whole events on at once, the first answer's headers before them. */
+/** Relays complete events as they arrive, preceded by the headers of the first response. */
 export class EventRelay implements ResponseRelay {
   readonly #port: CallerPort;
 
@@ -140,7 +145,10 @@
     }
   }
 
-  /** The caller waits for a framed end, and a resumed run ended with its connection, whole or not. */
+  /**
+   * True when the resumed response ends by closing its connection, so that its completeness is
+   * unknown, while the caller was promised a response with a framed end.
+   */
   #isEndUnknown(): boolean {
     return this.#hasBegun && this.#framing === 'untilClose' && this.#head?.framing !== 'untilClose';
   }
--- a/packages/forwarding/src/runs/resolveRequest.ts
+++ b/packages/forwarding/src/runs/resolveRequest.ts
@@ -1,4 +1,4 @@
-/** Which route and team a request belongs to, by the configuration in force at this moment. */
+/** Resolves the route and team of a request by the current configuration. */
 import type { RouteTable } from '../configuration/routeTable.js';
 import type { ForwardRoute, ForwardTeam } from '../types.js';
 import type { RefusalReason } from './types.js';
--- a/packages/forwarding/src/runs/responseTiming.ts
+++ b/packages/forwarding/src/runs/responseTiming.ts
@@ -1,7 +1,9 @@
-/** When an answer's bytes went to the caller, against what its route promises. */
+/**
+ * Measures when response bytes were relayed to the caller, compared with the targets of the route.
+ */
 import type { ForwardRoute } from '../types.js';
 
-/** For the log, where tenths of a ms say nothing. */
+/** Rounds for the log, where fractions of a ms carry no information. */
 export const roundMs = (ms: number | undefined): number | undefined =>
   ms === undefined ? undefined : Math.round(ms);
 
@@ -18,7 +20,6 @@
     this.#arrivedAtMs = arrivedAtMs;
   }
 
-  /** Bytes came for the caller. */
   recordBytes(nowMs: number): void {
     if (this.#firstBytesAtMs === undefined) {
       this.#firstBytesAtMs = nowMs;
@@ -28,7 +29,7 @@
     this.#lastBytesAtMs = nowMs;
   }
 
-  /** For the log: whether the answer was late, and by which of its two bounds. */
+  /** Log fields: whether the response was late, and against which of the two targets. */
   describe({ kind, targetLatencyMs, targetGapMs }: ForwardRoute) {
     const beganMs = (this.#firstBytesAtMs ?? this.#lastBytesAtMs) - this.#arrivedAtMs;
     const isBeginLate = beganMs > targetLatencyMs;
--- a/packages/forwarding/src/runs/types.ts
+++ b/packages/forwarding/src/runs/types.ts
@@ -1,8 +1,8 @@
-/** What a run needs of the caller's connection, and its final refusals. */
+/** The caller's side of a request run, and the reasons for refusing a request. */
 
 import type { ResponseFraming } from '../exchange/index.js';
 
-/** Why a caller gets no upstream's answer. */
+/** Why a caller gets no response from an upstream. */
 export type RefusalReason =
   | 'notReady'
   | 'leaving'
@@ -24,25 +24,28 @@
 
 export interface Refusal {
   readonly reason: RefusalReason;
-  /** When the caller may come back; only where the request has not run. */
+  /** When the caller may retry, in seconds; set only if the request has not run. */
   readonly retryAfterS?: number;
 }
 
 /** The caller's side of one request. */
 export interface CallerPort {
   /**
-   * `untilClose`: the upstream told the answer's end by closing. Nobody here can tell whether that is the
-   * whole of it, so the caller is told in the same way and no frame calls it complete.
+   * Starts the response. With `untilClose` the upstream marked its end by closing the connection,
+   * so that its completeness is unknown. The caller's connection is then closed in the same way,
+   * and no framing marks the response as complete.
    */
   begin(
     status: number,
     headers: Readonly<Record<string, string | string[]>>,
     framing: ResponseFraming,
   ): void;
-  /** False when the caller reads more slowly than we write. */
+  /** False when the caller reads more slowly than bytes are written. */
   write(bytes: Buffer): boolean;
   end(): void;
-  /** Ends an answer that is not whole, so that nobody takes it for one. */
+  /**
+   * Aborts an incomplete response in such a way that the caller cannot take it for a complete one.
+   */
   abort(): void;
   refuse(refusal: Refusal): void;
   onDrain(listener: () => void): void;
--- a/packages/forwarding/src/runs/versionReporter.test.ts
+++ b/packages/forwarding/src/runs/versionReporter.test.ts
@@ -1,4 +1,4 @@
-/** What attempts tell of a new version whose answers come too slowly. */
+/** Slow responses of a new version, as reported by attempts. */
 import FakeTimers, { type Clock } from '@sinonjs/fake-timers';
 import { createSilentLogger } from '@snipehaven/common';
 import { suite } from 'uvu';
@@ -22,7 +22,7 @@
 const BASELINE_GAP_MS = 20;
 const ORDER = { service: 's', toVersion: 'v2', durationMs: 60_000 };
 
-const test = suite<Context>('reports on versions');
+const test = suite<Context>('version reporter');
 
 test.before.each((context) => {
   context.clock = FakeTimers.install({ now: 1_700_000_000_000 });
@@ -54,7 +54,7 @@
   return new VersionReporter(dependencies, request, { entry, route: { name: 'r' }, model: 'm' });
 };
 
-/** A stream whose head is as fast as ever. */
+/** A stream whose response head arrives at the usual time. */
 const stream = (
   { clock, guide }: Context,
   softwareVersion: string,
@@ -83,7 +83,7 @@
   }
 };
 
-test('a version was kept whose streams began in time and trickled', (context) => {
+test('a version whose streams start on time but continue too slowly is rolled back', (context) => {
   streamMany(context, 'v1', evenGaps(BASELINE_GAP_MS));
   streamMany(context, 'v2', evenGaps(BASELINE_GAP_MS));
   assert.is(getState(context), 'running');
@@ -91,14 +91,14 @@
   assert.is(getState(context), 'rolledBack');
 });
 
-test('a version was blamed for a way that was silent', (context) => {
+test('a network stall does not count against a version', (context) => {
   streamMany(context, 'v1', evenGaps(BASELINE_GAP_MS));
   const [, ...others] = evenGaps(BASELINE_GAP_MS);
   streamMany(context, 'v2', [2_000, ...others]);
   assert.is(getState(context), 'running');
 });
 
-test('a version was blamed for what runs slowly on the old one too', (context) => {
+test('a version is not rolled back for work that is as slow on the old version', (context) => {
   streamMany(context, 'v1', evenGaps(BASELINE_GAP_MS));
   streamMany(context, 'v1', evenGaps(BASELINE_GAP_MS * 8));
   streamMany(context, 'v2', evenGaps(BASELINE_GAP_MS * 8));
--- a/packages/forwarding/src/runs/versionReporter.ts
+++ b/packages/forwarding/src/runs/versionReporter.ts
@@ -1,4 +1,7 @@
-/** What one attempt tells of the version that it runs on: how that answers, and which session it serves. */
+/**
+ * Reports to the roll-out how one attempt went on its software version, and which session it
+ * served.
+ */
 import type { BodyProgress, RolloutWork } from '../rollouts/index.js';
 import type { UpstreamEntry, UpstreamOutcome } from '../upstreams/index.js';
 import type { CallerRequest } from './callerRequest.js';
@@ -49,7 +52,10 @@
     this.#work = { service, softwareVersion, dataCentre, workKind };
   }
 
-  /** A version that hangs is known to be slow before its answers come, if they ever do. */
+  /**
+   * Starts a timer, so that a version that hangs is reported as slow even if its responses never
+   * start.
+   */
   onSent(): void {
     this.#sentAtMs = performance.now();
     this.#slowMs = this.#dependencies.rollouts.getSlowMs(this.#work);
@@ -58,7 +64,6 @@
     }
   }
 
-  /** The answer has begun. */
   onResponseStart(): void {
     const nowMs = performance.now();
     this.#beganAtMs = nowMs;
@@ -85,24 +90,29 @@
     }
   }
 
-  /** The answer is whole. */
   onResponseComplete(): void {
     if (this.#isThroughputValid) {
       this.#dependencies.rollouts.recordBodyRate(this.#work, this.#body);
     }
   }
 
-  /** The caller reads slowly, or the way to the upstream was silent: the pace is not the version's. */
+  /**
+   * Excludes the throughput from the report: the caller reads slowly or the network stalled, so
+   * that the version is not the cause.
+   */
   excludeThroughput(): void {
     this.#isThroughputValid = false;
   }
 
-  /** Nothing waits for the answer any more. */
+  /** Stops the timer for slow responses once the attempt no longer waits. */
   clearSlowTimer(): void {
     clearTimeout(this.#slowTimer);
   }
 
-  /** Only what the upstream's software may be to blame for: not refusals, nor machines out of reach. */
+  /**
+   * Reports only outcomes that the upstream's software may have caused: not refusals or unreachable
+   * machines.
+   */
   reportOutcome(outcome: UpstreamOutcome): void {
     if (outcome === 'failed') {
       this.#dependencies.rollouts.noteAnswer({ ...this.#work, isFailed: true });
@@ -112,7 +122,10 @@
     }
   }
 
-  /** The session's request runs, or has ended: a session lasts from the end of one request to the next. */
+  /**
+   * Records that the session's request runs or has ended: a session's lifetime counts from the end
+   * of one request to the start of the next.
+   */
   recordSessionRun(): void {
     const { session, attemptId } = this.#request.options;
     const { service, softwareVersion } = this.#work;
@@ -122,7 +135,7 @@
     }
   }
 
-  /** Where the upstream's machine is silent its software may not be to blame. */
+  /** Skipped when the whole upstream machine is silent, as its software may not be the cause. */
   #reportSlow(): void {
     if (performance.now() - this.#entry.lastBytesAtMs < RECENT_ACTIVITY_MS) {
       this.#isReportedSlow = true;
