--- a/packages/forwarding/src/rollouts/filterByVersion.ts
+++ b/packages/forwarding/src/rollouts/filterByVersion.ts
@@ -1,4 +1,4 @@
-/** Which upstreams a request may go to, by where the roll-out of their service stands. */
+/** Filters the upstreams that a request may go to, by the state of the service's roll-out. */
 import { getAffinityWeight, hashAffinityKey, type RolloutPlace } from '@snipehaven/policy';
 import type { RequestOptions, RolloutState } from '../types.js';
 import type { UpstreamEntry } from '../upstreams/index.js';
@@ -9,7 +9,7 @@
   /** The version that served before the order; undefined where that is not known. */
   readonly fromVersion: string | undefined;
   readonly place: RolloutPlace;
-  /** The version that the request's session last ran on here. */
+  /** The version that the request's session last ran on at this daemon. */
   readonly ranOn: string | undefined;
   readonly options: RequestOptions;
   /**
@@ -32,7 +32,7 @@
   other: readonly UpstreamEntry[],
 ): readonly UpstreamEntry[] => (wanted.length > 0 ? wanted : other);
 
-/** Upstreams of several versions may be listed, such as a straggler that missed the last roll-out. */
+/** Upstreams of several older versions may be listed, such as one that missed the last roll-out. */
 const listCurrentVersion = (
   { toVersion, fromVersion, ranOn }: VersionQuery,
   entries: readonly UpstreamEntry[],
@@ -68,7 +68,8 @@
 ) => readonly UpstreamEntry[];
 
 const filterByState: Readonly<Record<RolloutState, VersionFilter>> = {
-  // The old version's upstreams are stopped at once; those still listed are going.
+  // Upstreams of the old version are stopped at once after completion; those still listed are
+  // leaving.
   completed: ({ toVersion }, entries) => orIfEmpty(listOfVersion(entries, toVersion), entries),
   rolledBack: listCurrentVersion,
   running: (query, entries) => {
--- a/packages/forwarding/src/rollouts/rolloutGuide.test.ts
+++ b/packages/forwarding/src/rollouts/rolloutGuide.test.ts
@@ -1,4 +1,4 @@
-/** Which version a request goes to, as rows of the store come in whatever order. */
+/** Which version a request goes to, whatever the order in which rows of the store arrive. */
 import { createSilentLogger } from '@snipehaven/common';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -55,24 +55,24 @@
 const filterIds = (guide: RolloutGuide, attemptId = 'a', session?: string): string[] =>
   guide.filterUpstreams('s', createOptions(attemptId, session), [OLD, NEW]).map(({ id }) => id);
 
-// Symptom: after a restart a service has no upstream. Sequence: a daemon reads the status table before
-// the operator's, and drops the status of an order that it does not know yet. Cause: each row is read
-// once.
-test('a status that comes before its order counts', () => {
+// Guards against a service without upstreams after a restart: a daemon reads the status table
+// before the operator's table, and dropped the status of an order that it did not know yet. Each
+// row is read only once.
+test('a status that arrives before its order is applied', () => {
   const guide = createGuide();
   guide.takeStatus(createStatus('completed'), 9);
   guide.takeOrder(ORDER, ORDER_VERSION, undefined);
   assert.equal(filterIds(guide), ['v2']);
 });
 
-test('a status of an earlier order says nothing of this one', () => {
+test('a status of an earlier order does not apply to this one', () => {
   const guide = createGuide();
   guide.takeStatus(createStatus('completed', 3), 4);
   guide.takeOrder(ORDER, ORDER_VERSION, undefined);
   assert.equal(filterIds(guide), ['v1']);
 });
 
-test('a daemon that starts took an order that is long over for one that begins', () => {
+test('a starting daemon does not take a finished order for a new one', () => {
   const guide = createGuide();
   assert.ok(guide.isStateKnown);
   guide.takeOrder(ORDER, ORDER_VERSION, undefined);
@@ -85,7 +85,7 @@
   assert.ok(names.every((name) => filterIds(guide, name)[0] === 'v2'));
 });
 
-test('after a roll-back nothing goes to the new version, whatever else is left', () => {
+test('after a roll-back no request goes to the new version, even if no other upstream is left', () => {
   const guide = createGuide();
   guide.takeOrder(ORDER, ORDER_VERSION, 0);
   guide.takeStatus(createStatus('rolledBack'), 9);
@@ -93,7 +93,7 @@
   assert.equal(guide.filterUpstreams('s', createOptions('a'), [NEW]), []);
 });
 
-test('while the new version is tried a few requests go there, and no session', () => {
+test('in the first phase a few requests go to the new version, but no session', () => {
   const guide = createGuide();
   guide.takeOrder(ORDER, ORDER_VERSION, 0);
   const names = Array.from({ length: 400 }, (_, index) => `name ${index}`);
--- a/packages/forwarding/src/rollouts/rolloutGuide.ts
+++ b/packages/forwarding/src/rollouts/rolloutGuide.ts
@@ -1,4 +1,7 @@
-/** Which software version of a service a request goes to while a roll-out is under way. */
+/**
+ * Decides which software version a request goes to during a roll-out, and collects the evidence
+ * about it.
+ */
 import type { Logger } from '@snipehaven/common';
 import type { Freshness } from '../configuration/freshness.js';
 import type { StoreClock } from '../configuration/storeClock.js';
@@ -33,10 +36,10 @@
   readonly logger: Logger;
   readonly vm: string;
   readonly freshness: Freshness;
-  /** By which the status row dates the start of a roll-out. */
+  /** Clock offset by which the status row dates the start of a roll-out. */
   readonly clock: StoreClock;
   readonly sessionTtlMs: number;
-  /** Of all requests during a roll-out, the share that a version may get which turns out bad. */
+  /** Share of all requests during a roll-out that a version may get that turns out to be bad. */
   readonly allowedExposure: number;
   countSessionMove(stage: RolloutStage): void;
   /** The roll-out's answer counts, summed over the reachable peers. */
@@ -52,7 +55,7 @@
 
   readonly #vm: string;
 
-  /** How long ago the store was heard: a status may have been written since. */
+  /** Time since the last contact with the store: a status may have been written since. */
   readonly #freshness: Freshness;
 
   readonly #clock: StoreClock;
@@ -60,8 +63,8 @@
   readonly #rollouts = new Map<string, ServiceRollout>();
 
   /**
-   * The last status of each service, whether its order is known or not: orders and statuses come by
-   * feeds of their own, in any order, and a daemon that starts reads each row once.
+   * Latest status of each service, even if its order is not known yet: orders and statuses arrive
+   * on separate feeds in any order, and a starting daemon reads each row once.
    */
   readonly #statuses = new Map<string, KnownStatus>();
 
@@ -101,27 +104,29 @@
     return this.#rollouts.values();
   }
 
-  /** Whether the store's word on a roll-out is waited for. */
+  /** Whether a roll-out is running, so that its final state in the store is awaited. */
   get isAnyRunning(): boolean {
     return [...this.#rollouts.values()].some(({ state }) => state === 'running');
   }
 
-  /** Whether it is known where each roll-out stands: orders and statuses are read one after the other. */
+  /**
+   * Whether the state of each roll-out is known: orders and statuses are read one after the other.
+   */
   get isStateKnown(): boolean {
     return this.#hasReadStatuses || this.#rollouts.size === 0;
   }
 
-  /** Calls back after each bad answer of a new version seen here. */
+  /** Registers a listener for bad answers of a new version at this daemon. */
   onBadAnswer(listener: (rollout: ServiceRollout) => void): void {
     this.#onBadAnswer = listener;
   }
 
-  /** Calls back when an order was taken, or a state read again. */
+  /** Registers a listener for new orders. */
   onOrder(listener: () => void): void {
     this.#onOrder = listener;
   }
 
-  /** `givenWithinMs`: the order is at most this old; undefined where nobody here can know. */
+  /** `givenWithinMs`: upper bound of the order's age; undefined if this daemon cannot know it. */
   takeOrder(order: RolloutOrder, orderVersion: number, givenWithinMs: number | undefined): void {
     const known = this.#rollouts.get(order.service);
     if (known?.orderVersion === orderVersion) {
@@ -154,7 +159,7 @@
     this.#applyStatus(status.service);
   }
 
-  /** All statuses that the store had were taken. */
+  /** Called after all statuses in the store have been applied. */
   noteStatusesRead(): void {
     this.#hasReadStatuses = true;
   }
@@ -167,7 +172,10 @@
     }
   }
 
-  /** Another daemon judged the version of an order bad; it may not reach the store to write so. */
+  /**
+   * Applies the verdict of another daemon that an order's version is bad; that daemon may not reach
+   * the store to write it.
+   */
   takeBadVersion({ service, orderVersion }: BadVersionNews): void {
     const rollout = this.#rollouts.get(service);
     if (rollout?.orderVersion === orderVersion && rollout.rollBack()) {
@@ -193,7 +201,7 @@
     [...this.#rollouts.values()].forEach((rollout) => this.#judge(rollout));
   }
 
-  /** Notes an answer while a roll-out is under way. */
+  /** Counts an answer if a roll-out is running. */
   noteAnswer(answer: RolloutAnswer): void {
     const rollout = this.#rollouts.get(answer.service);
     if (rollout?.state !== 'running') {
@@ -208,7 +216,7 @@
     return this.#rollouts.get(work.service)?.isBodySlow(work, body) ?? false;
   }
 
-  /** An answer that was noted goes on too slowly; to be told once. */
+  /** Counts a slow body of an answer that is already counted; to be called once per answer. */
   recordSlowBody(work: RolloutWork, body: BodyProgress): void {
     const rollout = this.#rollouts.get(work.service);
     if (rollout?.countSlowBody(work)) {
@@ -216,17 +224,19 @@
     }
   }
 
-  /** A whole answer, by whose pace others are judged. */
+  /** Updates the expected rate from a complete answer. */
   recordBodyRate(work: RolloutWork, body: BodyProgress): void {
     this.#rollouts.get(work.service)?.recordBodyRate(work, body);
   }
 
-  /** When an answer that has not begun is told as slow; Infinity for never. */
+  /**
+   * Time in ms after which an answer that has not begun is reported as slow; Infinity for never.
+   */
   getSlowMs(work: RolloutWork): number {
     return this.#rollouts.get(work.service)?.getSlowMs(work) ?? Infinity;
   }
 
-  /** Where the service's roll-out stands, as far as is known here; undefined without one. */
+  /** Progress of the service's roll-out as known at this daemon; undefined without one. */
   findProgress(service: string): RolloutProgress | undefined {
     const rollout = this.#rollouts.get(service);
     if (rollout === undefined) {
@@ -246,12 +256,12 @@
     };
   }
 
-  /** What the session last ran on here, while it lasts. */
+  /** The version that the session last ran on at this daemon, until it expires. */
   findSessionRun(service: string, { session }: RequestOptions): SessionRun | undefined {
     return session === undefined ? undefined : this.#sessionVersions.find({ service, session });
   }
 
-  /** A request of the session runs, or has ended. */
+  /** Records that a request of the session runs or has ended. */
   recordSessionRun({ service, session, softwareVersion, request }: SessionRunReport): void {
     const move = this.#sessionVersions.recordRun({ service, session }, softwareVersion);
     if (move === undefined) {
@@ -260,12 +270,12 @@
     const progress = this.findProgress(service);
     this.#logger.info(
       { event: 'sessionMoved', request, ...move, rollout: progress },
-      'session changed its version',
+      'session changed its software version',
     );
     this.#countSessionMove(progress?.stage ?? 'none');
   }
 
-  /** The upstreams that this request may go to. */
+  /** Returns the upstreams that this request may go to. */
   filterUpstreams(
     service: string,
     options: RequestOptions,
@@ -358,7 +368,7 @@
         fleet: describeCounts(rollout.fleetCounts),
         storeAgeMs: Math.round(this.#freshness.ageMs),
       },
-      'roll-out changed its state',
+      'roll-out state changed',
     );
   }
 }
--- a/packages/forwarding/src/rollouts/rolloutKeeper.test.ts
+++ b/packages/forwarding/src/rollouts/rolloutKeeper.test.ts
@@ -1,4 +1,6 @@
-/** Who of many daemons writes a roll-out's state, and who does when the first ones are gone. */
+/**
+ * Which of many daemons writes a roll-out's state, and which one does if the first ones are gone.
+ */
 import FakeTimers, { type Clock } from '@sinonjs/fake-timers';
 import { createRandom, createSilentLogger } from '@snipehaven/common';
 import { suite } from 'uvu';
@@ -14,7 +16,7 @@
   clock: Clock;
 }
 
-const test = suite<Context>('roll-out keeper', {} as Context);
+const test = suite<Context>('roll-out status writes', {} as Context);
 
 test.before.each((context) => {
   context.clock = FakeTimers.install({ now: 1_700_000_000_000 });
@@ -25,7 +27,7 @@
 const DAEMONS = 195;
 const PROPAGATION_MS = 500;
 
-/** One row that daemons write under a condition, and that all know half a second later. */
+/** A status row written conditionally; each write reaches all daemons half a second later. */
 class StatusRow {
   #version = 0;
 
@@ -33,7 +35,7 @@
 
   isDown = false;
 
-  /** What the operator reads. */
+  /** State as the operator reads it. */
   state: RolloutStatus['state'] | undefined;
 
   readonly guides: RolloutGuide[] = [];
@@ -65,7 +67,7 @@
 
 const ORDER = { service: 's', toVersion: 'v2', durationMs: 20_000 };
 
-/** The store's clock and ours show the same. */
+/** A store clock without offset to the daemon's. */
 const createStoreClock = (): StoreClock => {
   const clock = new StoreClock();
   clock.noteAnswer(performance.now(), performance.now());
@@ -91,7 +93,7 @@
     hasEvacuatedUpstreams: () => false,
   });
 
-/** Daemons of these ranks, each with the order just given. */
+/** Starts daemons of these ranks, each with an order just given. */
 const startPublishers = (row: StatusRow, ranks: readonly number[]): void => {
   const freshness = new Freshness();
   freshness.confirm({ asked: readClocks(), serverTimeMs: 0 });
@@ -120,9 +122,9 @@
 const isKnown = ({ guides }: StatusRow): boolean =>
   guides.every((guide) => [...guide.rollouts].every(({ isStatusKnown }) => isStatusKnown));
 
-// Symptom: 39 daemons write a roll-out's row at the same moment, and all 195 a roll-back. Sequence: an
-// order comes. Cause: each writes after a wait drawn from five.
-test('of many daemons one writes', ({ clock }) => {
+// Guards against 39 daemons that write a roll-out's row at the same moment, and all 195 a
+// roll-back: after an order each wrote after a wait drawn at random from five ticks.
+test('only one of many daemons writes', ({ clock }) => {
   const row = new StatusRow();
   startPublishers(row, listRanks(0));
   clock.tick(3_000);
@@ -130,7 +132,7 @@
   assert.is(row.writes, 1);
 });
 
-test('the next one writes when the first three are gone', ({ clock }) => {
+test('the next daemon writes when the first three are gone', ({ clock }) => {
   const row = new StatusRow();
   startPublishers(row, listRanks(3));
   clock.tick(3_500);
@@ -138,7 +140,7 @@
   assert.is(row.writes, 1);
 });
 
-test('a store that is down is asked by few to write, and written to when it is back', ({
+test('few daemons try to write while the store is down, and one succeeds when it is back', ({
   clock,
 }) => {
   const row = new StatusRow();
@@ -164,7 +166,7 @@
   readonly upstreamsByDataCentre?: ReadonlyMap<string, number>;
 }
 
-/** A daemon that joins a small fleet; `canWrite`: the store does not turn it away. */
+/** Starts a daemon in a small fleet; with `canWrite` false the store rejects its writes. */
 const startDaemon = (
   row: StatusRow,
   fleet: StartedDaemon[],
@@ -180,10 +182,12 @@
   const guide = createGuide(vm, freshness, findPeerCounts, upstreamsByDataCentre);
   const daemon = { guide };
   const random = createRandom(vm.length);
-  const turnedAway = () => Promise.reject(new Error('turned away'));
+  const rejectWrite = () => Promise.reject(new Error('write rejected'));
   new RolloutKeeper({
     guide,
-    writer: canWrite ? row.createWriter() : { writeStatus: turnedAway, writeEvidence: turnedAway },
+    writer: canWrite
+      ? row.createWriter()
+      : { writeStatus: rejectWrite, writeEvidence: rejectWrite },
     vm,
     freshness,
     logger,
@@ -214,10 +218,11 @@
   Array.from({ length: 5 }, () => BAD_ANSWER).forEach((answer) => guide.noteAnswer(answer));
 };
 
-// Symptom: a bad version is completed. Sequence: one daemon judges it bad while the store turns it away;
-// the others are restarted meanwhile and the schedule is over. Cause: verdicts went by way of the store
-// only, and a daemon that had just started took its own ignorance for a good version.
-test('a verdict that the store was not told of holds at daemons that start later', ({ clock }) => {
+// Guards against a bad version that is completed: one daemon finds it bad while the store rejects
+// its writes, and the others restart meanwhile and find the schedule over. Verdicts went only
+// through the store, and a daemon that had just started took the lack of evidence for a good
+// version.
+test('a verdict that is not in the store reaches daemons that start later', ({ clock }) => {
   for (const restartAtMs of [19_000, 21_000]) {
     const row = new StatusRow();
     const fleet: StartedDaemon[] = [];
@@ -237,9 +242,7 @@
   }
 });
 
-test('a version that had hardly a request was completed after the store had been away', ({
-  clock,
-}) => {
+test('a version with hardly any requests is not completed after a store outage', ({ clock }) => {
   const row = new StatusRow();
   const freshness = new Freshness();
   const confirm = (): void => {
@@ -268,9 +271,7 @@
   assert.is(row.state, 'rolledBack');
 });
 
-test('a version was completed of which no upstream was listed, and nothing was served', ({
-  clock,
-}) => {
+test('a version is not completed while requests find no upstream of it', ({ clock }) => {
   const row = new StatusRow();
   const fleet: StartedDaemon[] = [];
   const { guide } = startDaemon(row, fleet, { vm: 'only', givenWithinMs: 0, canWrite: true });
@@ -367,10 +368,10 @@
   assert.equal(states, ['completed']);
 });
 
-// Symptom: a good roll-out is done a moment after its time. Sequence: the store's history is gone as the
-// order is given, so that it is found two seconds later by reading the table. Cause: its time was counted
-// from then.
-test('an order that is found late is done in its time all the same', ({ clock }) => {
+// Guards against a good roll-out that is completed a moment after its time: the store's history is
+// gone when the order is given, so that the order is found two seconds later by reading the table,
+// and the duration was counted from then.
+test('an order that is found late is still completed on schedule', ({ clock }) => {
   const row = new StatusRow();
   startDaemon(row, [], { vm: 'only', givenWithinMs: 2_000, canWrite: true });
   clock.tick(18_000);
--- a/packages/forwarding/src/rollouts/rolloutKeeper.ts
+++ b/packages/forwarding/src/rollouts/rolloutKeeper.ts
@@ -1,9 +1,9 @@
 /**
- * Writes what the operator reads of roll-outs. No daemon is set aside for it: each one wants to write
- * what the schedule or its evidence says, after a wait; the first write is the one that counts, by the
- * condition on the row, and the others see it and stop. A few daemons draw their waits; of many each
- * waits for all that come before it in an order that all know, since with drawn ones 39 of 195 wrote at
- * the first tick.
+ * Writes the roll-out status that the operator reads. There is no elected writer: each daemon
+ * writes what the schedule or its evidence requires after a wait; the first conditional write wins,
+ * and the others see the new row and stop. In a small fleet the waits are random. In a large one
+ * each daemon waits for all daemons before it in an order known to all, since with random waits 39
+ * of 195 daemons wrote at the first tick.
  */
 import { getErrorMessage, type Logger, type Random } from '@snipehaven/common';
 import type { Freshness } from '../configuration/freshness.js';
@@ -14,19 +14,23 @@
 import type { ServiceRollout } from './serviceRollout.js';
 import type { RolloutWriter } from './types.js';
 
-/** How often what should be written is looked at, and the longest random wait before a write. */
+/** Interval of checks for due writes; the longest random wait, in ticks, is `MAX_WAIT_TICKS`. */
 const TICK_MS = 250;
 const MAX_WAIT_TICKS = 5;
 
-/** For each daemon that comes before: a row is written and known everywhere within this time. */
+/**
+ * Wait per daemon that is earlier in the order: a row is written and known everywhere within this
+ * time.
+ */
 const TICKS_PER_RANK = 3;
 
-/** Bad answers within this time are told in one write. */
+/** Bad answers within this time are combined in one write. */
 const EVIDENCE_DELAY_MS = 200;
 
 /**
- * A daemon that has just started completes no roll-out: others may have judged the version bad and not
- * reached the store to say so. They tell one daemon each at every tick, so within this time it has heard.
+ * Time after the start during which a daemon completes no roll-out: other daemons may have found
+ * the version bad without reaching the store. They send this to one daemon each at every tick, so
+ * that it arrives within this time.
  */
 const STARTUP_LISTEN_MS = 3_000;
 
@@ -56,7 +60,7 @@
 
   readonly #pendingWrites = new Map<ServiceRollout, PendingWrite>();
 
-  /** Roll-outs already reported as due but unproven. */
+  /** Roll-outs already logged as due but unproven. */
   readonly #loggedUnproven = new WeakSet<ServiceRollout>();
 
   #timer: NodeJS.Timeout | undefined;
@@ -70,9 +74,9 @@
     freshness: Freshness;
     logger: Logger;
     random: Random;
-    /** How many daemons come before this one to write; undefined in a small fleet. */
+    /** Number of daemons that write before this one; undefined in a small fleet. */
     getWriterRank: () => number | undefined;
-    /** Tells another daemon. */
+    /** Sends the verdict to one other daemon. */
     tellBadVersion: (news: BadVersionNews) => void;
   }) {
     this.#guide = options.guide;
@@ -91,7 +95,7 @@
     this.#startTicks();
   }
 
-  /** Only while there are orders: an idle daemon is not woken for nothing. */
+  /** Runs only while there are orders, so that an idle daemon is not woken up. */
   #startTicks(): void {
     this.#timer ??= setInterval(() => this.#tick(), TICK_MS).unref();
   }
@@ -115,7 +119,7 @@
     }
   }
 
-  /** What the row should say and does not. */
+  /** Returns the state to be written, if it differs from the row. */
   #findStateToWrite(rollout: ServiceRollout): RolloutState | undefined {
     if (!rollout.isStatusKnown) {
       return rollout.state === 'running' ? 'running' : undefined;
@@ -128,7 +132,8 @@
     }
     const { phase } = rollout.getPlace(this.#freshness.ageMs);
     const hasHeard = performance.now() - this.#startedAtMs >= STARTUP_LISTEN_MS;
-    // A daemon that stood still while it heard nothing comes to the end without having tried the version.
+    // A daemon whose schedule stopped while it was out of contact can reach the end without having
+    // tried the version.
     if (phase !== 'closing' || !hasHeard) {
       return undefined;
     }
@@ -152,7 +157,10 @@
     );
   }
 
-  /** Until the store says so, since whoever judged may not reach it. */
+  /**
+   * Repeated until the store holds the verdict, as the daemon that found the version bad may not
+   * reach the store.
+   */
   #announceBadVersion({ state, isStoredStateFinal, order, orderVersion }: ServiceRollout): void {
     if (state === 'rolledBack' && !isStoredStateFinal) {
       this.#tellBadVersion({ service: order.service, orderVersion });
@@ -171,7 +179,7 @@
     }
   }
 
-  /** In a small fleet a roll-back is written at once. */
+  /** In a small fleet a roll-back is written without a wait. */
   #getInitialWaitTicks(state: RolloutState): number {
     const rank = this.#getWriterRank();
     if (rank !== undefined) {
--- a/packages/forwarding/src/rollouts/rolloutStart.ts
+++ b/packages/forwarding/src/rollouts/rolloutStart.ts
@@ -1,7 +1,7 @@
 /**
- * When a roll-out was ordered, between bounds. An order is dated neither by the operator nor by the store:
- * a daemon knows when it learned of the order and when it last knew that there was none, and takes over
- * what the status row says of the same.
+ * Bounds of the time at which a roll-out was ordered. Neither the operator nor the store dates an
+ * order: a daemon knows when it learned of the order and when it last knew that there was none, and
+ * adopts the bounds in the status row.
  */
 import type { RolloutElapsed } from '@snipehaven/policy';
 import type { StoreClock } from '../configuration/storeClock.js';
@@ -10,14 +10,17 @@
 export class RolloutStart {
   readonly #clock: StoreClock;
 
-  /** On `performance.now()`, as all that is not of the store. */
+  /**
+   * Latest possible time of the order, on `performance.now()` like all times that are not the
+   * store's.
+   */
   #latestMs = performance.now();
 
   #earliestMs: number | undefined;
 
   #stored: StoredStart | undefined;
 
-  /** `givenWithinMs`: the order is at most this old; undefined where nobody here can know. */
+  /** `givenWithinMs`: upper bound of the order's age; undefined if this daemon cannot know it. */
   constructor(clock: StoreClock, givenWithinMs: number | undefined) {
     this.#clock = clock;
     this.#earliestMs = givenWithinMs === undefined ? undefined : this.#latestMs - givenWithinMs;
@@ -28,7 +31,7 @@
     this.#applyStored();
   }
 
-  /** Whether more is known than that there is an order. */
+  /** Whether there is a lower bound of the time of the order. */
   get isKnown(): boolean {
     return this.#earliestMs !== undefined || this.#stored !== undefined;
   }
@@ -42,7 +45,7 @@
     };
   }
 
-  /** For the status row; undefined while the store's clock is not known. */
+  /** Bounds for the status row; undefined while the offset of the store's clock is unknown. */
   toStored(): StoredStart | undefined {
     if (this.#stored !== undefined) {
       return this.#stored;
@@ -58,7 +61,10 @@
     );
   }
 
-  /** Each time anew: our clock's offset to the store's is known better later, or lost for a while. */
+  /**
+   * Converted on each use, as the offset to the store's clock becomes more precise or is lost for a
+   * while.
+   */
   #applyStored(): void {
     if (this.#stored === undefined) {
       return;
--- a/packages/forwarding/src/rollouts/serviceRollout.ts
+++ b/packages/forwarding/src/rollouts/serviceRollout.ts
@@ -1,4 +1,4 @@
-/** One service's roll-out, as this daemon knows it. */
+/** State of one service's roll-out, as this daemon knows it. */
 import {
   NO_ANSWERS,
   ROLLOUT_NOT_BEGUN,
@@ -23,19 +23,25 @@
 import { RolloutStart } from './rolloutStart.js';
 import { VersionStats, type VersionRole } from './versionStats.js';
 
-/** A daemon that has not heard from the store for this long raises no share any more. */
+/**
+ * A daemon that has not heard from the store for longer than this no longer raises the share of the
+ * new version.
+ */
 const MAX_STORE_SILENCE_MS = 3_500;
 
-/** Of a roll-out's time, the part for which a version must have had all requests before it is completed. */
+/**
+ * Fraction of a roll-out's duration for which the version must have had all requests before the
+ * roll-out is completed.
+ */
 const MIN_FULL_SHARE_FRACTION = 0.12;
 
 export interface ServiceRolloutOptions {
   readonly order: RolloutOrder;
   readonly orderVersion: number;
-  /** The order is at most this old; undefined where nobody here can know. */
+  /** Upper bound of the order's age; undefined if this daemon cannot know it. */
   readonly givenWithinMs: number | undefined;
   readonly clock: StoreClock;
-  /** Of all requests during a roll-out, the share that a version may get which turns out bad. */
+  /** Share of all requests during a roll-out that a version may get that turns out to be bad. */
   readonly allowedExposure: number;
   /** This roll-out's answer counts, summed over the reachable peers. */
   findPeerCounts(): RolloutCounts | undefined;
@@ -56,10 +62,13 @@
 
   readonly #start: RolloutStart;
 
-  /** Since when all requests go to the new version; undefined before. */
+  /** Time since which all requests go to the new version; undefined before. */
   #fullShareSinceMs: number | undefined;
 
-  /** By the schedule; a daemon that hears nothing stands still, and none goes back. */
+  /**
+   * Highest elapsed time that the schedule has reached; it stops while the daemon hears nothing
+   * from the store, and never decreases.
+   */
   #maxElapsed: RolloutElapsed = { atLeastMs: 0, atMostMs: 0 };
 
   #state: RolloutState = 'running';
@@ -68,7 +77,7 @@
 
   #fromVersion: string | undefined;
 
-  /** What the store's row of this order says. */
+  /** State in the store's status row of this order. */
   #storedState: RolloutState | undefined;
 
   readonly #allowedExposure: number;
@@ -91,7 +100,7 @@
     return this.#state;
   }
 
-  /** Whether the store holds a status of this very order. */
+  /** Whether the store holds a status of this order. */
   get isStatusKnown(): boolean {
     return this.#storedState !== undefined;
   }
@@ -100,12 +109,15 @@
     return this.#storedState !== undefined && this.#storedState !== 'running';
   }
 
-  /** The version of the status row to write over; 0 for none. */
+  /** Row version expected by the next write of the status row; 0 if there is no row. */
   get statusRowVersion(): number {
     return this.#statusRowVersion;
   }
 
-  /** When the order was given, for the status row; undefined while the store's clock is not known. */
+  /**
+   * When the order was given, for the status row; undefined while the offset of the store's clock
+   * is unknown.
+   */
   get storedStart(): StoredStart | undefined {
     return this.#start.toStored();
   }
@@ -122,7 +134,7 @@
   takeStatus(status: RolloutStatus, rowVersion: number): void {
     this.#statusRowVersion = Math.max(this.#statusRowVersion, rowVersion);
     if (status.orderVersion !== this.orderVersion) {
-      // The last order's end says what serves now.
+      // The outcome of the previous order tells which version serves now.
       this.#fromVersion ??= status.state === 'completed' ? status.toVersion : status.fromVersion;
       return;
     }
@@ -130,7 +142,8 @@
     this.#storedState = status.state;
     this.#start.noteStored(status);
     if (status.state !== 'running') {
-      // What the store says is what the platform acts on: after `completed` the old upstreams are gone.
+      // The stored state decides, as the platform acts on it: after `completed` it stops the old
+      // upstreams.
       this.#state = status.state;
     }
   }
@@ -141,7 +154,7 @@
     }
   }
 
-  /** How long an answer may take before it is evidence; Infinity where none is asked for. */
+  /** Time in ms after which an answer counts as slow; Infinity if this work is not evaluated. */
   getSlowMs({ softwareVersion, workKind }: RolloutWork): number {
     const isTried = this.#state === 'running' && softwareVersion === this.order.toVersion;
     return isTried ? this.stats.getSlowMs(workKind) : Infinity;
@@ -170,7 +183,10 @@
     }
   }
 
-  /** Stops the roll-out if what all daemons saw says that the new version is bad. */
+  /**
+   * Rolls back if the evidence of all daemons shows that the new version is bad. Returns true if it
+   * did.
+   */
   judge(): boolean {
     if (this.#state !== 'running') {
       return false;
@@ -189,17 +205,22 @@
     return isBad;
   }
 
-  /** Another daemon judged the new version bad. True when that is news. */
+  /**
+   * Rolls back because another daemon found the new version bad. Returns true if it was still
+   * running.
+   */
   rollBack(): boolean {
     const isNews = this.#state === 'running';
     this.#state = isNews ? 'rolledBack' : this.#state;
     return isNews;
   }
 
-  /** Where the schedule stands; a daemon out of touch with the store stays where it was. */
+  /**
+   * Progress of the schedule; it does not advance at a daemon that has lost contact with the store.
+   */
   getPlace(storeAgeMs: number): RolloutPlace {
     if (!this.#start.isKnown) {
-      // It may have been rolled back long ago.
+      // Without a known start the roll-out may have been rolled back long ago.
       return ROLLOUT_NOT_BEGUN;
     }
     const unheardMs = Math.min(storeAgeMs, performance.now() - this.#orderTakenAtMs);
@@ -217,12 +238,14 @@
     return place;
   }
 
-  /** A request that was to go to the new version found no upstream of it. */
+  /** Called when a request assigned to the new version found no upstream of it. */
   resetFullShare(): void {
     this.#fullShareSinceMs = undefined;
   }
 
-  /** Whether the new version has had all requests of this daemon for long enough to show what it is. */
+  /**
+   * Whether the new version has had all requests of this daemon for long enough to be evaluated.
+   */
   get hasFullShareLongEnough(): boolean {
     const seenMs = performance.now() - (this.#fullShareSinceMs ?? Infinity);
     return seenMs >= MIN_FULL_SHARE_FRACTION * this.order.durationMs;
--- a/packages/forwarding/src/rollouts/sessionAffinity.test.ts
+++ b/packages/forwarding/src/rollouts/sessionAffinity.test.ts
@@ -24,7 +24,7 @@
   clock: Clock;
   freshness: Freshness;
   guide: RolloutGuide;
-  /** Of another daemon. */
+  /** Roll-out state of another daemon. */
   other: RolloutGuide;
   evacuatedVersions: Set<string>;
 }
@@ -68,7 +68,7 @@
   promptParts: [],
 });
 
-/** The version that a request of each session runs on; undefined where it may go nowhere. */
+/** Runs a request of each session and returns its version; undefined if it may go nowhere. */
 const runAll = (
   guide: RolloutGuide,
   entries: UpstreamEntry[],
@@ -84,7 +84,7 @@
     }),
   );
 
-/** Time passes, with the store heard all the while. */
+/** Advances the clock, with the store in contact. */
 const advance = ({ clock, freshness }: Context, ms: number): void => {
   clock.tick(ms);
   freshness.confirm({ asked: readClocks(), serverTimeMs: performance.now() });
@@ -95,21 +95,21 @@
   after: ReadonlyMap<string, string | undefined>,
 ): readonly string[] => SESSIONS.filter((session) => before.get(session) !== after.get(session));
 
-test('a session that began before the order moved at once', (context) => {
+test('a session that began before the order does not move at once', (context) => {
   const before = runAll(context.guide, [V1]);
   context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
   advance(context, 500);
   assert.equal(listMoved(before, runAll(context.guide, [V1, V2])), []);
 });
 
-test('a session moved when upstreams of the new version were listed', (context) => {
+test('a session does not move when upstreams of the new version are first listed', (context) => {
   context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
   const before = runAll(context.guide, [V1]);
   advance(context, 1_000);
   assert.equal(listMoved(before, runAll(context.guide, [V1, V2])), []);
 });
 
-test('a session moved there and back when upstreams of the new version were away for a moment', (context) => {
+test('a session does not move when upstreams of the new version are missing for a moment', (context) => {
   context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
   const before = runAll(context.guide, [V1, V2]);
   advance(context, 1_000);
@@ -119,7 +119,7 @@
   assert.equal(listMoved(without, runAll(context.guide, [V1, V2])), []);
 });
 
-test('a session that ran on the version of the last order moved to that of the next at once', (context) => {
+test('a session on the version of the last order does not move to that of the next at once', (context) => {
   context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
   advance(context, ORDER.durationMs * 0.95);
   const before = runAll(context.guide, [V1, V2]);
@@ -128,7 +128,7 @@
   assert.equal(listMoved(before, runAll(context.guide, [V2, V3])), []);
 });
 
-test('sessions went to a straggler of the version before last when the next order came', (context) => {
+test('a new order moves no session to a leftover upstream of the version before last', (context) => {
   const status = { service: 's', toVersion: 'v2', afterStoreMs: 0, beforeStoreMs: 0 };
   const completed = { ...status, state: 'completed' as const, orderVersion: ORDER_VERSION };
   context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
@@ -143,7 +143,7 @@
   assert.equal(listMoved(before, runAll(context.other, [V1, V2, V3])), []);
 });
 
-test('sessions moved in the first half where the order was learned late', (context) => {
+test('sessions do not move in the first half when the order was learned late', (context) => {
   const learnedLateMs = 6_000;
   context.guide.takeOrder(ORDER, ORDER_VERSION, learnedLateMs);
   const first = runAll(context.guide, [V1, V2]);
@@ -153,7 +153,7 @@
   }
 });
 
-test('sessions went back to the old version while the upstreams of the new one were evacuated', (context) => {
+test('sessions do not return to the old version while the upstreams of the new one are evacuated', (context) => {
   context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
   advance(context, ORDER.durationMs * 0.7);
   const before = runAll(context.guide, [V1, V2]);
@@ -168,7 +168,7 @@
   assert.equal(listMoved(before, runAll(context.guide, [V1, V2])), []);
 });
 
-test('requests of expired sessions were refused while the upstreams of the new version were evacuated', (context) => {
+test('requests of expired sessions run on the old version while the upstreams of the new one are evacuated', (context) => {
   context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
   advance(context, ORDER.durationMs * 0.7);
   runAll(context.guide, [V1, V2]);
@@ -178,7 +178,7 @@
   assert.ok([...after.values()].every((version) => version === 'v1'));
 });
 
-test('a daemon whose time of day jumped sent sessions back', (context) => {
+test('a jump of the wall clock moves no session back', (context) => {
   context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
   context.other.takeOrder(ORDER, ORDER_VERSION, 0);
   advance(context, ORDER.durationMs * 0.7);
--- a/packages/forwarding/src/rollouts/sessionMoves.test.ts
+++ b/packages/forwarding/src/rollouts/sessionMoves.test.ts
@@ -1,4 +1,4 @@
-/** A search over orders of events for a session that moves too early, or back. */
+/** Property test over interleavings of events: no session moves too early, or back. */
 import FakeTimers from '@sinonjs/fake-timers';
 import fc from 'fast-check';
 import { test } from 'uvu';
@@ -19,14 +19,14 @@
 const RUNS = 700;
 const STEPS_A_RUN = 150;
 
-/** Until a session's next request; longer than what answers of the store take to come. */
+/** Minimum time between requests; longer than replies of the store take. */
 const MIN_GAP_MS = 25;
 const MAX_STORE_DELAY_MS = 8;
 
-/** Within this all daemons in touch know an order, and its status row. */
+/** Within this time all daemons in contact with the store know an order and its status row. */
 const PROPAGATION_MS = 2_000;
 
-/** A daemon that has not heard the store for this long is out of touch, and moves nothing. */
+/** A daemon that has not heard from the store for this long has lost contact, and moves nothing. */
 const MAX_STORE_AGE_MS = 3_000;
 
 const V1 = createEntry('v1');
@@ -81,7 +81,7 @@
 );
 
 const planArbitrary = fc.record({
-  /** When each daemon learns of the order, and how old it may be by then as it knows. */
+  /** When each daemon learns of the order, and the slack of its upper bound of the order's age. */
   learning: fc.array(
     fc.record({ afterMs: fc.nat({ max: PROPAGATION_MS }), moreMs: fc.nat({ max: 6_000 }) }),
     { minLength: DAEMONS, maxLength: DAEMONS },
@@ -103,7 +103,7 @@
   readonly atMs: number;
 }
 
-/** Plays one plan and judges each request as it runs. */
+/** Executes one plan and checks each request. */
 class PlanRunner {
   readonly #plan: Plan;
 
@@ -184,7 +184,9 @@
     handlers[step.kind](step as never);
   }
 
-  /** It serves again once it has read the order and where its roll-out stands. */
+  /**
+   * The restarted daemon serves again once it has read the order and the status of its roll-out.
+   */
   #restart(index: number, delayMs: number): void {
     const daemon = this.#daemons[index];
     daemon?.restart();
@@ -218,7 +220,7 @@
       return;
     }
     const isEarly = version === 'v2' && this.#elapsedMs < ORDER.durationMs / 2;
-    // Where no upstream of the new version is listed the session has nowhere else to go.
+    // A daemon that lists no upstream of the new version has nowhere else to send the session.
     const isBack = version === 'v1' && this.#listsNew[index] === true && this.#isStoreFresh(index);
     const when = `${Math.round(this.#elapsedMs)} ms after the order`;
     assert.not(isEarly, `session ${session} moved early, ${when}`);
@@ -226,7 +228,7 @@
   }
 }
 
-test('no order of events moves a session early or back', () => {
+test('no interleaving of events moves a session early or back', () => {
   fc.assert(
     fc.property(planArbitrary, (plan) => {
       const clock = FakeTimers.install({ now: 1_700_000_000_000 });
--- a/packages/forwarding/src/rollouts/sessionVersions.test.ts
+++ b/packages/forwarding/src/rollouts/sessionVersions.test.ts
@@ -1,4 +1,4 @@
-/** What a daemon remembers of sessions. */
+/** The versions that a daemon remembers of sessions. */
 import { install } from '@sinonjs/fake-timers';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -7,7 +7,7 @@
 const TTL_MS = 5_000;
 const SESSION = { service: 's', session: 'one' };
 
-test('a session that ran on another version has moved, and not once it is over', () => {
+test('a change of version is reported until the session has expired', () => {
   const clock = install();
   const versions = new SessionVersions(TTL_MS);
   assert.is(versions.recordRun(SESSION, 'v1'), undefined);
@@ -22,7 +22,7 @@
   clock.uninstall();
 });
 
-test('a session runs on versions of several services', () => {
+test('versions of a session are kept separately by service', () => {
   const versions = new SessionVersions(TTL_MS);
   versions.recordRun(SESSION, 'v1');
   assert.is(versions.recordRun({ ...SESSION, service: 'other' }, 'v2'), undefined);
--- a/packages/forwarding/src/rollouts/sessionVersions.ts
+++ b/packages/forwarding/src/rollouts/sessionVersions.ts
@@ -1,7 +1,7 @@
-/** Which software version of a service each session last ran on at this daemon. */
+/** Remembers the software version that each session last ran on at this daemon, per service. */
 import { forgetOldest } from '@snipehaven/common';
 
-/** A session of callers at one service; the same session may use several services. */
+/** A session at one service; the same session may use several services. */
 export interface SessionOfService {
   readonly service: string;
   readonly session: string;
@@ -9,11 +9,11 @@
 
 export interface SessionRun {
   readonly softwareVersion: string;
-  /** When that was last seen to run; on `performance.now()`. */
+  /** Last time that it was seen running, on `performance.now()`. */
   readonly atMs: number;
 }
 
-/** A session ran on one version and then on another one. */
+/** A change of a session from one version to another. */
 export interface SessionMove extends SessionOfService {
   readonly from: string;
   readonly to: string;
@@ -29,7 +29,9 @@
 
   readonly #runs = new Map<string, SessionRun>();
 
-  /** `ttlMs`: from the end of a request, in which the next one belongs to the same session. */
+  /**
+   * `ttlMs`: time after the end of a request within which the next one belongs to the same session.
+   */
   constructor(ttlMs: number) {
     this.#ttlMs = ttlMs;
   }
@@ -39,12 +41,15 @@
     return run && performance.now() - run.atMs < this.#ttlMs ? run : undefined;
   }
 
-  /** Time until the session expires unless it runs again. */
+  /** Time in ms until the session expires unless it runs again. */
   getRemainingMs({ atMs }: SessionRun): number {
     return Math.max(0, this.#ttlMs - (performance.now() - atMs));
   }
 
-  /** To be noted when an answer begins and when it ends. Returns the move, if it is one. */
+  /**
+   * To be called when a response begins and when it ends. Returns the change of version, if there
+   * is one.
+   */
   recordRun(session: SessionOfService, softwareVersion: string): SessionMove | undefined {
     const last = this.find(session);
     const nowMs = performance.now();
--- a/packages/forwarding/src/rollouts/testSupport/simulatedDaemon.ts
+++ b/packages/forwarding/src/rollouts/testSupport/simulatedDaemon.ts
@@ -1,4 +1,7 @@
-/** A daemon of the search over interleavings: its guide, its clock, and what it was told. */
+/**
+ * A simulated daemon for the property test of session moves, with its own clock and knowledge of
+ * the store.
+ */
 import { createSilentLogger } from '@snipehaven/common';
 import { Freshness } from '../../configuration/freshness.js';
 import { StoreClock, readClocks } from '../../configuration/storeClock.js';
@@ -10,7 +13,7 @@
 
 export const SESSION_TTL_MS = 5_000;
 
-/** The store's clock shows so much more than the daemons'. */
+/** Offset of the store's clock to the daemons' clocks. */
 const STORE_AHEAD_MS = 70_000;
 
 export const readStoreMs = (): number => performance.now() + STORE_AHEAD_MS;
@@ -48,12 +51,12 @@
     return this.#guide;
   }
 
-  /** All that it knew is gone. */
+  /** Restarts the daemon without its state. */
   restart(): void {
     this.#guide = this.#start();
   }
 
-  /** The store answered after `delayMs`. */
+  /** Simulates a reply of the store that took `delayMs`. */
   confirmStore(delayMs: number): void {
     const asked = readClocks();
     const askedMs = asked.steadyMs - delayMs;
@@ -75,7 +78,7 @@
     this.#guide.noteStatusesRead();
   }
 
-  /** The version that a request of the session runs on. */
+  /** Runs a request of the session and returns its version. */
   run(session: string, listed: UpstreamEntry[]): string | undefined {
     const options = {
       attemptId: session,
--- a/packages/forwarding/src/rollouts/types.ts
+++ b/packages/forwarding/src/rollouts/types.ts
@@ -1,51 +1,53 @@
-/** What daemons tell each other of a roll-out, through the store. */
+/** State and evidence of a roll-out that daemons share through the store. */
 import type { SchedulePhase, VersionCounts } from '@snipehaven/policy';
 import type { RolloutState } from '../types.js';
 
-/** Between which times an order was given, on the store's steady clock. */
+/** Bounds of the time at which an order was given, on the store's monotonic clock. */
 export interface StoredStart {
   readonly afterStoreMs: number;
   readonly beforeStoreMs: number;
 }
 
-/** The state of a service's roll-out: what the operator reads, and when it started. */
+/** State of a service's roll-out as the operator reads it, and when it started. */
 export interface RolloutStatus extends StoredStart {
   readonly service: string;
   readonly toVersion: string;
   readonly state: RolloutState;
   /** The version that served before the order; absent where that is not known. */
   readonly fromVersion?: string;
-  /** The store's version of the order's row, which tells one order from the next. */
+  /** Row version of the order in the store, which distinguishes successive orders. */
   readonly orderVersion: number;
 }
 
-/** How far a roll-out has come, or how it ended. */
+/** Phase of a roll-out, or its final state. */
 export type RolloutStage = SchedulePhase | Exclude<RolloutState, 'running'> | 'none';
 
-/** Where a roll-out stands as one daemon believes, and on what that rests. */
+/** Progress of a roll-out as one daemon sees it, and the data that it is based on. */
 export interface RolloutProgress {
   readonly orderVersion: number;
   readonly toVersion: string;
   readonly stage: RolloutStage;
   readonly newShare: number;
   readonly sessionShare: number;
-  /** How long ago it was ordered, at least and at most. */
+  /** Lower and upper bound of the time since the order. */
   readonly atLeastMs: number;
   readonly atMostMs: number;
-  /** How long ago the store was heard. */
+  /** Time since the last contact with the store. */
   readonly storeAgeMs: number;
 }
 
-/** An upstream runs a request of a session. */
+/** A request of a session that runs on an upstream. */
 export interface SessionRunReport {
   readonly service: string;
   readonly session: string;
   readonly softwareVersion: string;
-  /** The attempt's id. */
+  /** Id of the attempt. */
   readonly request: string;
 }
 
-/** What one daemon saw of both versions; written only once it saw a bad answer of the new one. */
+/**
+ * Answer counts of one daemon for both versions; written only after a bad answer of the new one.
+ */
 export interface RolloutEvidence {
   readonly service: string;
   readonly vm: string;
@@ -54,32 +56,32 @@
   readonly present: VersionCounts;
 }
 
-/** What is asked of an upstream, as far as the guard compares it. */
+/** A request to an upstream, as far as roll-outs compare it. */
 export interface RolloutWork {
   readonly service: string;
   readonly softwareVersion: string;
   /** Data centre of the upstream. */
   readonly dataCentre: string;
-  /** Kind of work, by which the versions' times are compared. */
+  /** Kind of work; response times are compared only within one kind. */
   readonly workKind: string;
 }
 
-/** What came of an answer so far, from its begin on. */
+/** Progress of an answer's body since its beginning. */
 export interface BodyProgress {
   readonly bytes: number;
   readonly tookMs: number;
 }
 
-/** An answer of an upstream, as the guard judges it. */
+/** An answer of an upstream, as roll-outs evaluate it. */
 export interface RolloutAnswer extends RolloutWork {
   readonly isFailed: boolean;
-  /** Until the answer's head, or as long as it has been waited for; absent where there was none. */
+  /** Time to the response head, or the wait so far; absent if there was no response. */
   readonly headMs?: number;
 }
 
 /** Writes to the store; throws `StoreUnavailableError` when the outcome is unknown. */
 export interface RolloutWriter {
-  /** False when the row had another version. */
+  /** Returns false if the row had another version. */
   writeStatus(status: RolloutStatus, expectedVersion: number): Promise<boolean>;
   writeEvidence(evidence: RolloutEvidence): Promise<void>;
 }
--- a/packages/forwarding/src/rollouts/versionStats.test.ts
+++ b/packages/forwarding/src/rollouts/versionStats.test.ts
@@ -1,4 +1,4 @@
-/** What speaks against a new version. */
+/** Which answers count as evidence against a new version. */
 import { isVersionBad } from '@snipehaven/policy';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -16,7 +16,7 @@
   headMs,
 });
 
-/** A stats after a calm minute. */
+/** Counts after a minute without bad answers. */
 const createStats = (): VersionStats => {
   const stats = new VersionStats();
   const countMany = (role: VersionRole, count: number): void => {
@@ -31,17 +31,18 @@
 
 const isBad = ({ candidate, present }: VersionStats): boolean => isVersionBad(candidate, present);
 
-// Symptom: a good version is rolled back. Sequence: a prompt of 50,000 tokens is read at one of its
-// upstreams, and three answers behind it come after a second. Cause: each of them counted like a failure.
-test('answers behind one long prompt do not condemn a version', () => {
+// Guards against rolling back a good version: a prompt of 50,000 tokens is processed at one of its
+// upstreams, and three answers queued behind it take more than a second. Each of them used to count
+// like a failure.
+test('slow answers behind one long prompt do not make a version bad', () => {
   const stats = createStats();
   for (let index = 0; index < 3; index += 1) {
-    assert.ok(stats.count('candidate', createAnswer(SLOW_MS)), 'each is told');
+    assert.ok(stats.count('candidate', createAnswer(SLOW_MS)), 'each counts as bad');
   }
   assert.not(isBad(stats));
 });
 
-test('a version that goes on being slow, and one that fails three times, are bad', () => {
+test('a version that stays slow, and one that fails three times, are bad', () => {
   const slow = createStats();
   for (let index = 0; index < 6; index += 1) {
     slow.count('candidate', createAnswer(SLOW_MS));
--- a/packages/forwarding/src/rollouts/versionStats.ts
+++ b/packages/forwarding/src/rollouts/versionStats.ts
@@ -1,22 +1,31 @@
-/** Counts answers of the two versions of a service, and tells slow ones by the old version's times. */
+/**
+ * Counts the answers of both versions of a service, and detects slow ones by the response times of
+ * the old version.
+ */
 import { NO_ANSWERS, addVersionCounts, type VersionCounts } from '@snipehaven/policy';
 import type { RolloutAnswer, RolloutWork } from './types.js';
 
-/** An answer this many times slower than usual on the old version is as bad as a failure. */
+/** An answer this many times slower than the old version's average is bad. */
 const SLOW_FACTOR = 4;
 
 /**
- * A slow answer is weaker evidence than a failure: one long prompt holds up all requests behind it at its
- * upstream, whatever the version. With a weight of 1 three answers behind one prompt rolled a good version
- * back in six of eleven plays of calm days; with this it takes six answers.
+ * Weight of a slow answer against 1 for a failure. A slow answer is weaker evidence: one long
+ * prompt delays all requests queued behind it at its upstream, whatever the version. With a weight
+ * of 1, three answers behind one prompt rolled back a good version in six of eleven simulations of
+ * normal days; with this weight it takes six answers.
  */
 const SLOW_WEIGHT = 0.5;
 
-/** Short times vary by as much as this for reasons of their own. */
+/**
+ * Tolerance added to the limit, as short response times vary by this much for unrelated reasons.
+ */
 const SLOW_SLACK_MS = 250;
 const TIME_SMOOTHING = 0.1;
 
-/** Older answers fade: a version may turn bad late, or only under load. */
+/**
+ * Counts are halved at this number, so that recent answers dominate: a version may turn bad late,
+ * or only under load.
+ */
 const MAX_ANSWERS = 80;
 
 export type VersionRole = 'candidate' | 'present';
@@ -38,15 +47,15 @@
     present: NO_ANSWERS,
   };
 
-  /** Keyed by the upstream's data centre. */
+  /** Counts of the candidate at full share, by the upstream's data centre. */
   readonly #candidateAtFullShare = new Map<string, VersionCounts>();
 
   #isAtFullShare = false;
 
-  /** Until an answer begins, by kind of work. */
+  /** Average time until an answer begins on the old version, by kind of work. */
   readonly #baselineMs = new Map<string, number>();
 
-  /** For each byte of an answer from then on, by kind of work. */
+  /** Average time per byte of an answer after its beginning, by kind of work. */
   readonly #baselineMsPerByte = new Map<string, number>();
 
   get candidate(): VersionCounts {
@@ -67,29 +76,34 @@
     this.#isAtFullShare = true;
   }
 
-  /** An answer that takes longer is slow; Infinity before the old version has answered. */
+  /**
+   * Time in ms after which an answer counts as slow; Infinity before the old version has answered.
+   */
   getSlowMs(workKind: string): number {
     const baselineMs = this.#baselineMs.get(workKind) ?? Infinity;
     return baselineMs * SLOW_FACTOR + SLOW_SLACK_MS;
   }
 
-  /** How long so many bytes may take after the answer has begun; Infinity as above. */
+  /**
+   * Time in ms after which a body of this size counts as slow, from the beginning of the answer;
+   * Infinity as above.
+   */
   getSlowBodyMs(workKind: string, bytes: number): number {
     const baselineMs = (this.#baselineMsPerByte.get(workKind) ?? Infinity) * bytes;
     return baselineMs * SLOW_FACTOR + SLOW_SLACK_MS;
   }
 
-  /** An answer that was counted goes on too slowly. */
+  /** Counts a slow body of an answer that is already counted. */
   countSlowBody(role: VersionRole, { dataCentre }: RolloutWork): void {
     this.#add(role, dataCentre, { answers: 0, bad: SLOW_WEIGHT });
   }
 
-  /** Of a whole answer of the old version. */
+  /** Updates the old version's average from a complete answer. */
   recordBodyRate(workKind: string, msPerByte: number): void {
     updateAverage(this.#baselineMsPerByte, workKind, msPerByte);
   }
 
-  /** True when the answer was bad. */
+  /** Returns true if the answer was bad. */
   count(role: VersionRole, answer: RolloutAnswer): boolean {
     const weight = this.#getBadWeight(answer);
     this.#add(role, answer.dataCentre, { answers: 1, bad: weight });
@@ -107,7 +121,7 @@
     }
   }
 
-  /** How bad it is, from 0 to 1. */
+  /** Weight of the answer as evidence against its version, from 0 to 1. */
   #getBadWeight(answer: RolloutAnswer): number {
     if (answer.isFailed) {
       return 1;
