--- a/packages/forwarding/src/edge/forwardMetrics.ts
+++ b/packages/forwarding/src/edge/forwardMetrics.ts
@@ -1,4 +1,6 @@
-/** Counters by `prom-client` and latencies by `hdr-histogram-js`, as text for the metrics address. */
+/**
+ * Counters by `prom-client` and latencies by `hdr-histogram-js`, rendered for the metrics endpoint.
+ */
 import { LATENCY_QUANTILES, createLatencyHistogram, type Histogram } from '@snipehaven/common';
 import { Counter, Gauge, Registry } from 'prom-client';
 import type { RolloutStage } from '../rollouts/types.js';
@@ -35,7 +37,7 @@
     });
     this.#storeCalls = new Counter({
       name: 'snipehaven_store_calls_total',
-      help: 'Calls to the platform’s store by what they are for and how they ended.',
+      help: 'Calls to the platform’s store by purpose and outcome.',
       labelNames: ['purpose', 'outcome'],
       registers,
     });
@@ -47,25 +49,25 @@
     });
     this.#upstreamEnds = new Counter({
       name: 'snipehaven_upstream_ends_total',
-      help: 'Upstreams whose process ended with requests of this daemon.',
+      help: 'Upstreams whose process exited with requests of this daemon in flight.',
       labelNames: ['service'],
       registers,
     });
     this.#sessionMoves = new Counter({
       name: 'snipehaven_sessions_moved_total',
-      help: 'Sessions that ran on another version here than before, by the stage of the roll-out.',
+      help: 'Sessions that changed their software version at this daemon, by the stage of the roll-out.',
       labelNames: ['stage'],
       registers,
     });
     this.#latency = new Gauge({
       name: 'snipehaven_forward_ms',
-      help: 'Time to the end of whole answers, in milliseconds.',
+      help: 'Time to the end of complete responses, in milliseconds.',
       labelNames: ['kind', 'quantile'],
       registers,
     });
   }
 
-  /** A number read when the metrics are asked for. */
+  /** Adds a gauge whose value is read on each scrape. */
   addGauge(name: string, help: string, read: () => number): void {
     const gauge: Gauge = new Gauge({
       name,
--- a/packages/forwarding/src/edge/frontServer.ts
+++ b/packages/forwarding/src/edge/frontServer.ts
@@ -1,4 +1,4 @@
-/** The callers' HTTP/1.1 server. */
+/** The HTTP/1.1 server for callers. */
 import { afterPendingReads } from '@snipehaven/common';
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
@@ -19,13 +19,19 @@
 import { StartupQueue } from './startupQueue.js';
 import type { CallerListener } from './types.js';
 
-/** Above any limit that a configuration may set; the configured one is checked for each request. */
+/**
+ * Parser limit, above any limit that a configuration may set; the configured limit is checked for
+ * each request.
+ */
 const MAX_PARSED_HEADER_BYTES = 262_144;
 
-/** How often the runtime looks for callers that send their headers too slowly. */
+/** Interval at which Node checks for callers that send their headers too slowly. */
 const HEADER_TIMEOUT_CHECK_MS = 500;
 
-/** An idle connection is kept longer than callers may reuse it, so that no request meets our close. */
+/**
+ * Idle connections are kept this much longer than callers may reuse them, so that no request
+ * arrives while the server closes its connection.
+ */
 const IDLE_MARGIN_MS = 1_000;
 
 const clientErrorStatus: Readonly<Record<string, string>> = {
@@ -73,7 +79,10 @@
     dependencies.configuration.onChange((table) => this.#applyLimits(table));
   }
 
-  /** Whether routes, upstreams and the state of roll-outs are known, so that requests can be sent. */
+  /**
+   * True once routes, upstreams and the state of roll-outs are known, so that requests can be
+   * forwarded.
+   */
   get isInformed(): boolean {
     const { configuration, directory, rollouts } = this.#dependencies;
     return configuration.table !== undefined && directory.isListed && rollouts.isStateKnown;
@@ -83,7 +92,7 @@
     return this.#inFlight;
   }
 
-  /** `listener` is used where it listens at the address. */
+  /** Adopts `listener` if it listens at this address. */
   listen(address: SocketAddress, listener?: CallerListener): Promise<void> {
     const isAlreadyListening = listener?.host === address.host && listener.port === address.port;
     return isAlreadyListening
@@ -91,30 +100,30 @@
       : listenOn(this.#server, address);
   }
 
-  /** From now on each answer says that its connection closes. */
+  /** From now on each response announces that its connection closes. */
   leave(): void {
     this.#isDraining = true;
   }
 
   /**
-   * Closes connections on which nothing runs. Those whose answer had begun before we left did not hear
-   * that they close, so this is to be called again and again: a request taken on one of them late in the
-   * grace period would be cut off at its end.
+   * Closes idle connections. A response that began before draining did not announce the close, so
+   * its connection may become idle later; to be called repeatedly, as a request accepted on such a
+   * connection late in the grace period would be cut off at its end.
    */
   closeIdle(): void {
     this.#server.closeIdleConnections();
   }
 
   /**
-   * Takes no more connections and no more requests: callers are refused at once and go elsewhere. A stream
-   * that began now would be cut off at the end of the grace period.
+   * Accepts no more connections and requests: callers are refused at once and retry elsewhere. A
+   * stream that began now would be cut off at the end of the grace period.
    */
   stopTaking(): void {
     this.#isClosed = true;
     this.#server.close();
   }
 
-  /** Closes everything, whatever runs. */
+  /** Closes all connections, including those with running requests. */
   destroy(): void {
     this.#server.close();
     this.#server.closeAllConnections();
@@ -224,8 +233,9 @@
         run.cancel();
       }
     });
-    // A busy daemon reads a request long after it came. Its caller may have left since; the end of the
-    // connection lies behind the request, and upstreams would work for nobody.
+    // A busy daemon may read a request long after it arrived, when its caller has already
+    // disconnected. The end of the connection follows the request in the socket buffer, so pending
+    // reads are processed first; otherwise upstreams would work for nobody.
     afterPendingReads(() => {
       const { socket } = request;
       if (socket.writableEnded) {
@@ -239,7 +249,7 @@
     });
   }
 
-  /** An answer that began before we left did not say that its connection closes. */
+  /** A response that began before draining did not announce that its connection closes. */
   #closeIfDraining(socket: Socket): void {
     if (this.#isDraining) {
       socket.end();
--- a/packages/forwarding/src/edge/httpCallerPort.ts
+++ b/packages/forwarding/src/edge/httpCallerPort.ts
@@ -1,9 +1,9 @@
-/** A caller's side over Node's HTTP server. */
+/** Implements `CallerPort` over Node's HTTP server. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import type { ResponseFraming } from '../exchange/index.js';
 import { refusalForms, type CallerPort, type Refusal } from '../runs/index.js';
 
-/** How a refused caller is told when to come back; the name is the protocol's standard one. */
+/** Standard HTTP header that tells a refused caller when to retry. */
 const RETRY_AFTER = 'Retry-After';
 
 export class HttpCallerPort implements CallerPort {
@@ -43,7 +43,10 @@
     this.#response.end();
   }
 
-  /** An answer that ends with its connection would look whole after a plain close. */
+  /**
+   * A response that is ended by closing its connection would look complete after a normal close, so
+   * the connection is reset.
+   */
   abort(): void {
     if (this.#endsWithConnection) {
       this.#request.socket.resetAndDestroy();
--- a/packages/forwarding/src/edge/listenOn.ts
+++ b/packages/forwarding/src/edge/listenOn.ts
@@ -1,12 +1,12 @@
-/** Starts a server. */
+/** Starts a server on an address or on a listener that is already open. */
 import type { Server } from 'node:http';
 import type { SocketAddress } from '../types.js';
 import type { CallerListener } from './types.js';
 
-/** Connections that wait to be taken while the process is busy; beyond, callers' opening packets are lost. */
+/** Accept queue length while the process is busy; beyond it callers' SYN packets are dropped. */
 const LISTEN_BACKLOG = 1_024;
 
-/** From now on the server takes what comes to the listener, and what has come. */
+/** Serves all connections of the listener, including those already accepted. */
 export const adoptListener = (server: Server, listener: CallerListener): Promise<void> =>
   new Promise((resolve, reject) => {
     server.once('error', reject);
@@ -17,7 +17,7 @@
     });
   });
 
-/** Resolves once the server listens; rejects when it cannot. */
+/** Resolves once the server listens; rejects if it cannot. */
 export const listenOn = (server: Server, { host, port }: SocketAddress): Promise<void> =>
   new Promise((resolve, reject) => {
     server.once('error', reject);
--- a/packages/forwarding/src/edge/readCallerBody.ts
+++ b/packages/forwarding/src/edge/readCallerBody.ts
@@ -1,4 +1,4 @@
-/** Reads a caller's whole body, so that it can be sent again. */
+/** Reads the complete body of a request, so that it can be sent again. */
 import type { IncomingMessage } from 'node:http';
 
 export type BodyResult = Buffer | 'tooLarge' | 'gone';
@@ -8,7 +8,7 @@
 const hasBody = ({ headers }: IncomingMessage): boolean =>
   headers['transfer-encoding'] !== undefined || Number(headers['content-length'] ?? 0) > 0;
 
-/** Calls back once: with the body, or why there is none. */
+/** Calls back once, with the body or the reason why there is none. */
 export const readCallerBody = (
   request: IncomingMessage,
   maxBytes: number,
--- a/packages/forwarding/src/edge/startupQueue.test.ts
+++ b/packages/forwarding/src/edge/startupQueue.test.ts
@@ -1,4 +1,4 @@
-/** Who waits while a daemon starts, and for how long. */
+/** Which requests wait while a daemon starts, and for how long. */
 import FakeTimers, { type Clock } from '@sinonjs/fake-timers';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
@@ -8,7 +8,7 @@
   clock: Clock;
 }
 
-const test = suite<Context>('start queue', {} as Context);
+const test = suite<Context>('startup queue', {} as Context);
 
 test.before.each((context) => {
   context.clock = FakeTimers.install({ now: 1_700_000_000_000 });
@@ -16,7 +16,10 @@
 
 test.after.each(({ clock }) => clock.uninstall());
 
-/** A queue of a daemon that knows where to send after so long, and when each request went on. */
+/**
+ * Runs a queue of a daemon that becomes ready at `knownAtMs`; returns when each request was
+ * released.
+ */
 const runQueue = (
   clock: Clock,
   knownAtMs: number,
@@ -37,17 +40,17 @@
   assert.equal(runQueue(clock, 300, [10, 200, 290, 400]), [310, 310, 310, 400]);
 });
 
-test('none waits longer than half a second', ({ clock }) => {
+test('no request waits longer than half a second', ({ clock }) => {
   assert.equal(runQueue(clock, 4_000, [100]), [600]);
 });
 
-// Symptom: callers of a daemon that is cut off wait for nothing. Sequence: it never gets its tables. Cause: a
-// request that can't be served is let wait.
-test('a daemon that knows nothing long after its start lets nobody wait', ({ clock }) => {
+// Guards against callers that wait in vain: a daemon that is partitioned never gets its tables, so
+// a request that it cannot serve must not be queued.
+test('a daemon that is not ready long after its start queues no request', ({ clock }) => {
   assert.equal(runQueue(clock, Infinity, [1_600, 3_000]), [1_600, 3_000]);
 });
 
-test('a flood does not fill the memory', ({ clock }) => {
+test('the number of queued requests is bounded', ({ clock }) => {
   const went = runQueue(
     clock,
     300,
--- a/packages/forwarding/src/edge/startupQueue.ts
+++ b/packages/forwarding/src/edge/startupQueue.ts
@@ -1,17 +1,20 @@
 /**
- * Requests that come while the daemon starts and does not know yet where anything goes. It will within
- * some tenths of a second; a caller that is refused meanwhile has used up one of its few attempts, and
- * those that come back at the same moment meet daemons that start as well. Waiting is bounded, and only a
- * daemon that has just started lets anyone wait.
+ * Queues requests that arrive while the daemon starts and has no routes yet, which it gets within
+ * some tenths of a second. A caller refused meanwhile has used up one of its few attempts, and
+ * callers that retry at the same moment reach other daemons that are starting too. The wait is
+ * bounded, and only a daemon that has just started queues requests.
  */
 
-/** How often is looked whether the daemon knows. */
+/** Interval at which readiness is checked. */
 const POLL_MS = 20;
 
-/** After its start a daemon that still knows nothing refuses at once: it is not starting, it is cut off. */
+/**
+ * After this time a daemon that is still not ready refuses at once: it is not starting but
+ * partitioned.
+ */
 const STARTUP_PHASE_MS = 1_500;
 
-/** No request waits longer than this. */
+/** Maximum time that a request waits. */
 const MAX_WAIT_MS = 500;
 
 const MAX_QUEUED = 500;
@@ -34,7 +37,7 @@
     this.#isReady = isReady;
   }
 
-  /** Calls back at once, or when the daemon knows, or when it does not in time. */
+  /** Calls back at once, or when the daemon is ready, or when the maximum wait is over. */
   enqueue(resume: () => void): void {
     const nowMs = performance.now();
     const isStarting = nowMs - this.#startedAtMs < STARTUP_PHASE_MS;
--- a/packages/forwarding/src/edge/statusServer.ts
+++ b/packages/forwarding/src/edge/statusServer.ts
@@ -1,4 +1,4 @@
-/** Small servers beside the callers': readiness for the balancer, metrics for operators. */
+/** HTTP servers for readiness checks of the load balancer and for metrics. */
 import { createServer, type Server } from 'node:http';
 import type { SocketAddress } from '../types.js';
 import { listenOn } from './listenOn.js';
--- a/packages/forwarding/src/edge/types.ts
+++ b/packages/forwarding/src/edge/types.ts
@@ -1,10 +1,10 @@
-/** What the edge is given. */
+/** Types of the caller-facing servers. */
 import type { Server, Socket } from 'node:net';
 import type { SocketAddress } from '../types.js';
 
-/** A server that has listened for callers since before the daemon had loaded. */
+/** A server that has been listening for callers since before the daemon was loaded. */
 export interface CallerListener extends SocketAddress {
   readonly server: Server;
-  /** Connections that it has taken meanwhile, paused. */
+  /** Connections accepted meanwhile, paused. */
   readonly sockets: Socket[];
 }
