--- a/packages/forwarding/src/exchange/connectionPool.ts
+++ b/packages/forwarding/src/exchange/connectionPool.ts
@@ -1,4 +1,7 @@
-/** Connections to one upstream: each carries one request at a time, the youngest idle one first. */
+/**
+ * Connection pool of one upstream. Each connection carries one request at a time; the most recently
+ * used idle one is taken first.
+ */
 import { isRefusedConnection } from '@snipehaven/common';
 import { CONNECT_TIMEOUT_MS, MAX_CONNECTION_IDLE_MS, MAX_IDLE_CONNECTIONS } from '../constants.js';
 import { openSocket } from './openSocket.js';
@@ -22,9 +25,9 @@
   }
 
   /**
-   * A connection for one request. A non-idempotent request gets a new one: bytes of an earlier,
-   * doubled answer may lie on a used one, and it may die as we write; either leaves it unknown
-   * whether the request ran.
+   * Returns a connection for one request. A non-idempotent request gets a new one: a reused
+   * connection may hold bytes of an earlier, duplicated response or close while the request is
+   * written, and either leaves it unknown whether the request ran.
    */
   acquire(isFreshNeeded: boolean): UpstreamConnection {
     const idle = isFreshNeeded ? undefined : this.#popIdle();
@@ -34,7 +37,10 @@
     );
   }
 
-  /** Asks whether the upstream's process still listens, on a connection that carries nothing. */
+  /**
+   * Checks whether the upstream's process still listens, by opening a connection that carries no
+   * request.
+   */
   probe(): Promise<ProbeOutcome> {
     return new Promise((resolve) => {
       openSocket(this.#host, this.#port, CONNECT_TIMEOUT_MS, (error, socket) => {
@@ -48,12 +54,15 @@
     });
   }
 
-  /** The round trip to the upstream, as the quickest of its connections shows it; absent before the first. */
+  /**
+   * Round trip to the upstream, estimated by its fastest connection set-up; undefined before the
+   * first one.
+   */
   get roundTripMs(): number | undefined {
     return this.#shortestConnectMs;
   }
 
-  /** Gives back a connection whose answer was whole and its own. */
+  /** Returns a connection whose response was complete and belonged to its request. */
   release(connection: UpstreamConnection): void {
     const isKept = !this.#isClosed && this.#idle.length < MAX_IDLE_CONNECTIONS;
     if (!isKept || !connection.isUsable) {
@@ -65,13 +74,13 @@
     this.#closeExpired();
   }
 
-  /** Closes idle connections; those in use end with their request. */
+  /** Closes idle connections; those in use close with their request. */
   close(): void {
     this.#isClosed = true;
     this.closeIdle();
   }
 
-  /** Drops idle connections, after they were found silent or dead. */
+  /** Closes idle connections, also after the upstream was found silent or dead. */
   closeIdle(): void {
     this.#idle.forEach((connection) => connection.destroy());
     this.#idle = [];
--- a/packages/forwarding/src/exchange/exchange.ts
+++ b/packages/forwarding/src/exchange/exchange.ts
@@ -1,4 +1,4 @@
-/** Sends one request to one upstream and tells how far it came. */
+/** Sends one request to one upstream and reports how far it got. */
 import { getErrorMessage } from '@snipehaven/common';
 import type { Dispatcher } from 'undici';
 import type { HeaderDialect, HeaderMap } from '../types.js';
@@ -19,7 +19,7 @@
   answering: 'broken',
 };
 
-/** Statuses whose answers have no body. */
+/** Statuses whose responses have no body. */
 const BODILESS_STATUSES = new Set([204, 304]);
 
 const getResponseFraming = (status: number, headers: HeaderMap): ResponseFraming => {
@@ -69,7 +69,7 @@
         path: target,
         headers: headers as Record<string, string>,
         body: body.length > 0 ? body : null,
-        // The client must not repeat or queue it by itself.
+        // The undici client must not retry or queue the request itself.
         idempotent: false,
       },
       this,
@@ -77,7 +77,7 @@
     return this;
   }
 
-  /** Ends the request at the upstream by closing its connection. */
+  /** Cancels the request at the upstream by closing its connection. */
   abort(): void {
     if (this.#phase !== 'over') {
       this.#phase = 'over';
@@ -96,7 +96,7 @@
   onRequestStart(controller: Dispatcher.DispatchController): void {
     this.#controller = controller;
     if (this.#phase === 'over') {
-      controller.abort(new Error('given up'));
+      controller.abort(new Error('request aborted'));
       return;
     }
     this.#phase = 'sent';
@@ -111,10 +111,11 @@
       return;
     }
     const facts = this.#dialect.readAnswer(status, headers);
-    // An upstream may answer twice; the second answer lies where the next one is expected. Only the
-    // echoed id tells them apart, and the connection can't be trusted any more.
+    // An upstream may send a response twice, and the second one arrives where the response to the
+    // next request is expected. Only the echoed attempt id tells them apart, and the connection
+    // must not be reused.
     if (facts.attemptId !== this.#request.attemptId && !facts.isNotRun) {
-      this.#fail(`answer of another attempt: ${facts.attemptId ?? 'none'}`);
+      this.#fail(`response belongs to another attempt: ${facts.attemptId ?? 'none'}`);
       return;
     }
     this.#phase = 'answering';
@@ -133,7 +134,7 @@
       return;
     }
     if (this.#connection.hasFailed || (this.#framing === 'chunked' && this.#connection.hasEnded)) {
-      this.#fail('connection ended within the answer');
+      this.#fail('connection closed before the response was complete');
       return;
     }
     this.#phase = 'over';
--- a/packages/forwarding/src/exchange/openSocket.ts
+++ b/packages/forwarding/src/exchange/openSocket.ts
@@ -1,10 +1,10 @@
-/** Opens TCP connections for undici clients, with a time-out of our own. */
+/** Opens TCP connections for undici clients, with a connect time-out of their own. */
 import { connect, type Socket } from 'node:net';
 import { SnipehavenError, afterPendingReads } from '@snipehaven/common';
 
 export type ConnectCallback = (error: Error | null, socket: Socket | null) => void;
 
-/** How long an idle connection may be silent before the kernel asks whether the other side lives. */
+/** Idle time after which the kernel sends keep-alive probes. */
 const KEEP_ALIVE_DELAY_MS = 2_000;
 
 export class ConnectTimedOutError extends SnipehavenError {
@@ -12,9 +12,9 @@
 }
 
 /**
- * Opens a connection; a machine that is gone or behind a cut does not answer, and the kernel would go on
- * asking for a minute. The callback is called once. Returns the socket, whose `error` and `end` listeners
- * set by the caller at once come before those of the library.
+ * Opens a connection with a time-out: a machine that is down or partitioned does not answer, and
+ * the kernel would retry for a minute. The callback is called once. Returns the socket; `error` and
+ * `end` listeners that the caller adds at once run before those of the library.
  */
 export const openSocket = (
   host: string,
@@ -44,7 +44,7 @@
   socket.on('error', (error) => settle(error));
   socket.on('connect', () => {
     clearTimeout(timer);
-    // Whoever waits for the connection may have left meanwhile, which a busy daemon has yet to read.
+    // The waiting caller may have disconnected meanwhile, which a busy daemon has not read yet.
     afterPendingReads(() => settle(null));
   });
   return socket;
--- a/packages/forwarding/src/exchange/types.ts
+++ b/packages/forwarding/src/exchange/types.ts
@@ -1,19 +1,22 @@
-/** One request sent to one upstream, and what came of it. */
+/** Types of one request sent to one upstream, and of its outcome. */
 import type { AnswerFacts, HeaderMap } from '../types.js';
 
 /**
- * What is known of a request that got no whole answer. `notSent`: no byte was written.
- * `unknown`: it may have run. `broken`: an answer had begun.
+ * Outcome of a request without a complete response. `notSent`: no byte was written. `unknown`: it
+ * may have run. `broken`: a response had begun.
  */
 export type ExchangeVerdict = 'notSent' | 'unknown' | 'broken';
 
 export interface ExchangeFailure {
   readonly verdict: ExchangeVerdict;
-  /** For the log: what happened. */
+  /** Reason for the log. */
   readonly cause: string;
 }
 
-/** How the end of an answer is told. `untilClose`: by the end of its connection, whole or not. */
+/**
+ * How the end of a response is marked. `untilClose`: by the end of the connection, whether complete
+ * or not.
+ */
 export type ResponseFraming = 'length' | 'chunked' | 'untilClose';
 
 export interface ResponseHead {
@@ -26,18 +29,18 @@
 export interface ExchangeListener {
   onHead(head: ResponseHead): void;
   onData(bytes: Buffer): void;
-  /** The whole answer has come. */
+  /** The response is complete. */
   onEnd(): void;
   /** Called at most once, and never after `onEnd` or `abort`. */
   onFailure(failure: ExchangeFailure): void;
 }
 
-/** What came of a connection made to learn whether a process listens; `silent`: nobody said. */
+/** Result of a probe connection that checks whether a process listens; `silent`: no reply. */
 export type ProbeOutcome = 'listening' | 'refused' | 'silent';
 
 export interface UpstreamRequest {
   readonly method: string;
-  /** Path and query as they came. */
+  /** Path and query as received. */
   readonly target: string;
   readonly headers: Readonly<Record<string, string | string[]>>;
   readonly body: Buffer;
--- a/packages/forwarding/src/exchange/upstreamConnection.ts
+++ b/packages/forwarding/src/exchange/upstreamConnection.ts
@@ -1,13 +1,16 @@
 /**
- * One connection to an upstream: an undici client of its own, so that a request never waits in a
- * queue of the library unseen, and what happened to its socket is known.
+ * One connection to an upstream. It has an undici client of its own, so that requests never wait in
+ * a hidden queue of the library and the state of the socket is known.
  */
 import type { Socket } from 'node:net';
 import { Client, type Dispatcher } from 'undici';
 import { CONNECT_TIMEOUT_MS } from '../constants.js';
 import { openSocket, type ConnectCallback } from './openSocket.js';
 
-/** How much before an upstream's announced idle time-out its connection is closed here. */
+/**
+ * Margin before the upstream's announced idle time-out at which the connection is closed on this
+ * side.
+ */
 const KEEP_ALIVE_MARGIN_MS = 700;
 const MAX_RESPONSE_HEADER_BYTES = 65_536;
 
@@ -24,7 +27,7 @@
 
   #idleSinceMs = 0;
 
-  /** `onConnected` hears how long each connection took to be made. */
+  /** `onConnected` receives the set-up time of each connection. */
   constructor(host: string, port: number, onConnected: (tookMs: number) => void) {
     this.#onConnected = onConnected;
     const open = (_options: unknown, callback: ConnectCallback): void => {
@@ -40,18 +43,18 @@
     });
   }
 
-  /** Whether a request may be sent on it without opening it anew. */
+  /** True if a request can be sent without reconnecting. */
   get isUsable(): boolean {
     const socket = this.#socket;
     return socket !== undefined && !socket.destroyed && !this.#hasEnded && !this.#hasFailed;
   }
 
-  /** The socket was reset, or failed otherwise. */
+  /** True after the socket was reset or failed otherwise. */
   get hasFailed(): boolean {
     return this.#hasFailed;
   }
 
-  /** The upstream closed its side. */
+  /** True after the upstream closed its side. */
   get hasEnded(): boolean {
     return this.#hasEnded;
   }
@@ -71,7 +74,7 @@
   destroy(): void {
     this.#socket?.destroy();
     this.#client.destroy().catch(() => {
-      // Destroying twice is harmless; the client reports it as an error.
+      // Destroying twice is harmless, but undici reports it as an error.
     });
   }
 
@@ -84,9 +87,9 @@
       }
       callback(error, opened);
     });
-    // These listeners stand before the library's own: an answer without a length, or in chunks on a
-    // connection that closes, is reported as complete when the socket is reset or ends early. Who
-    // handles the end of the answer reads these flags to tell it from a whole one.
+    // These listeners run before the library's own. undici reports a response without a length, or
+    // a chunked one on a connection that closes, as complete when the socket is reset or ends
+    // early; the exchange reads these flags to recognize an incomplete response.
     socket.on('error', () => {
       this.#hasFailed = true;
     });
