--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -1,4 +1,4 @@
-/** Takes a request through its team's limits and the daemon's fair queue. */
+/** Admits a request through its team's limits and the daemon's fair queue. */
 import { asId, type TeamId } from '@snipehaven/common';
 import type { Resource } from '@snipehaven/resources';
 import type { RoutingDependencies } from './dependencies.js';
@@ -15,18 +15,18 @@
   readonly expectedCostMicroUsd: number;
 }
 
-/** The places a request holds while it runs. */
+/** The limit reservation and queue slot that a request holds while it runs. */
 export interface Admission {
   release(actualCostMicroUsd: number): void;
 }
 
 const limitMessages = {
-  rate: 'the team sends too many requests',
-  concurrency: 'the team has too many requests running',
-  spend: "the team's spending limit is used up",
+  rate: 'the team exceeds its request rate limit',
+  concurrency: 'the team has reached its concurrency limit',
+  spend: 'the team has used up its spending limit',
 } as const;
 
-/** Once more after a share has come where the daemon held none of the team's. */
+/** Retries once after a share arrives for a team of which this daemon held none. */
 const tryReserve = async (
   { limiter }: RoutingDependencies,
   { team, expectedCostMicroUsd }: AdmissionInput,
@@ -52,12 +52,16 @@
   throw new Refusal(kind, limitMessages[outcome.limit], tracker, { retryAfterMs });
 };
 
-const createStopRefusal = (tracker: RunTracker, signal: RequestSignal): Refusal =>
+const createAbortRefusal = (tracker: RunTracker, signal: RequestSignal): Refusal =>
   signal.reason === 'deadline'
-    ? new Refusal('deadlineExceeded', 'the deadline passed before there was room', tracker)
-    : new Refusal('callerGone', 'the caller has gone', tracker);
+    ? new Refusal(
+        'deadlineExceeded',
+        'the deadline passed before the request was admitted',
+        tracker,
+      )
+    : new Refusal('callerGone', 'the caller has disconnected', tracker);
 
-/** Resolves when the request may run; throws the final refusal at once otherwise. */
+/** Resolves when the request may run; otherwise throws the final refusal immediately. */
 export const admit = async (
   deps: RoutingDependencies,
   tracker: RunTracker,
@@ -65,12 +69,12 @@
   input: AdmissionInput,
 ): Promise<Admission> => {
   if (signal.reason !== undefined) {
-    throw createStopRefusal(tracker, signal);
+    throw createAbortRefusal(tracker, signal);
   }
   const reservation = await reserve(deps, tracker, input);
   if (signal.signal.aborted) {
     reservation.release(0);
-    throw createStopRefusal(tracker, signal);
+    throw createAbortRefusal(tracker, signal);
   }
   const outcome = await deps.gate.admit(
     {
@@ -87,10 +91,10 @@
   if (outcome.kind !== 'admitted') {
     reservation.release(0);
     throw outcome.kind === 'refused'
-      ? new Refusal('overloaded', `no room: ${outcome.reason}`, tracker, {
+      ? new Refusal('overloaded', `no capacity: ${outcome.reason}`, tracker, {
           retryAfterMs: outcome.retryAfterMs,
         })
-      : createStopRefusal(tracker, signal);
+      : createAbortRefusal(tracker, signal);
   }
   return {
     release: (actualCostMicroUsd) => {
--- a/packages/routing/src/admissionGate.ts
+++ b/packages/routing/src/admissionController.ts
@@ -1,4 +1,4 @@
-/** Lets requests in fairly, and refuses at once those that would wait too long. */
+/** Admits requests by weighted fair queueing and rejects those that would wait too long. */
 import type { Random } from '@snipehaven/common';
 import {
   cancelQueued,
@@ -12,14 +12,13 @@
   type AdmissionState,
 } from '@snipehaven/policy';
 
-/** Whether a request may run now. */
 export type AdmissionOutcome =
   | { readonly kind: 'admitted'; release(): void }
   | { readonly kind: 'refused'; readonly retryAfterMs: number; readonly reason: string }
   | { readonly kind: 'callerGone' };
 
-/** How soon waiting requests are looked at again without any that ends. */
-const RECHECK_MS = 100;
+/** How often the queue is re-evaluated when no running request completes. */
+const RECHECK_INTERVAL_MS = 100;
 
 type Resolve = (outcome: AdmissionOutcome) => void;
 
@@ -28,7 +27,7 @@
 
   readonly #random: Random;
 
-  readonly #waiting = new Map<string, Resolve>();
+  readonly #pendingById = new Map<string, Resolve>();
 
   #recheckTimer: NodeJS.Timeout | undefined;
 
@@ -47,7 +46,7 @@
     return this.#state.queued;
   }
 
-  /** Resolves when the request may run, or at once when it will not. */
+  /** Resolves when the request may run, or as soon as it is known that it will not. */
   admit(request: AdmissionRequest, callerGone: AbortSignal): Promise<AdmissionOutcome> {
     const settings = this.#getSettings();
     const result = chooseAdmission(this.#state, settings, request, Date.now(), this.#random);
@@ -60,22 +59,25 @@
     }
     return decision.kind === 'run'
       ? Promise.resolve(this.#createAdmitted(request))
-      : this.#wait(request, callerGone);
+      : this.#enqueue(request, callerGone);
   }
 
-  #wait(request: AdmissionRequest, callerGone: AbortSignal): Promise<AdmissionOutcome> {
+  #enqueue(request: AdmissionRequest, callerGone: AbortSignal): Promise<AdmissionOutcome> {
     return new Promise((resolve) => {
-      const leave = (): void => {
-        if (this.#waiting.delete(request.id)) {
+      const cancel = (): void => {
+        if (this.#pendingById.delete(request.id)) {
           this.#state = cancelQueued(this.#state, request.id);
           resolve({ kind: 'callerGone' });
         }
       };
-      callerGone.addEventListener('abort', leave, { once: true });
-      const timer = setTimeout(() => this.#pump(), Math.max(0, request.deadlineAtMs - Date.now()));
-      this.#waiting.set(request.id, (outcome) => {
+      callerGone.addEventListener('abort', cancel, { once: true });
+      const timer = setTimeout(
+        () => this.#admitQueued(),
+        Math.max(0, request.deadlineAtMs - Date.now()),
+      );
+      this.#pendingById.set(request.id, (outcome) => {
         clearTimeout(timer);
-        callerGone.removeEventListener('abort', leave);
+        callerGone.removeEventListener('abort', cancel);
         resolve(outcome);
       });
       this.#scheduleRecheck();
@@ -83,18 +85,19 @@
   }
 
   /**
-   * What goes wrong: room that a load report shows, or an upstream that comes back, wakes nobody, and
-   * requests wait before free slots until one of this daemon's own ends. One notices late first tokens
-   * at daemons with little traffic.
+   * Capacity that appears in a load report, or with an upstream that returns, triggers no
+   * completion event. Without a periodic check, requests would queue in front of free slots until
+   * one of this daemon's own requests ends, which shows as late first tokens on daemons with little
+   * traffic.
    */
   #scheduleRecheck(): void {
     this.#recheckTimer ??= setTimeout(() => {
       this.#recheckTimer = undefined;
-      this.#pump();
-      if (this.#waiting.size > 0) {
+      this.#admitQueued();
+      if (this.#pendingById.size > 0) {
         this.#scheduleRecheck();
       }
-    }, RECHECK_MS);
+    }, RECHECK_INTERVAL_MS);
   }
 
   #createAdmitted(request: AdmissionRequest): AdmissionOutcome {
@@ -106,12 +109,12 @@
       }
       isReleased = true;
       this.#state = recordCompletion(this.#state, request, Date.now() - startedAtMs);
-      this.#pump();
+      this.#admitQueued();
     };
     return { kind: 'admitted', release };
   }
 
-  #pump(): void {
+  #admitQueued(): void {
     for (;;) {
       const step = takeNext(this.#state, this.#getSettings(), Date.now(), this.#random);
       this.#state = step.state;
@@ -119,19 +122,19 @@
       if (step.next === undefined) {
         return;
       }
-      this.#resolveWaiting(step.next.id, this.#createAdmitted(step.next));
+      this.#resolvePending(step.next.id, this.#createAdmitted(step.next));
     }
   }
 
   #refuseAll(refusals: readonly AdmissionRefusal[]): void {
     refusals.forEach(({ request, reason, retryAfterMs }) => {
-      this.#resolveWaiting(request.id, { kind: 'refused', reason, retryAfterMs });
+      this.#resolvePending(request.id, { kind: 'refused', reason, retryAfterMs });
     });
   }
 
-  #resolveWaiting(id: string, outcome: AdmissionOutcome): void {
-    const resolve = this.#waiting.get(id);
-    this.#waiting.delete(id);
+  #resolvePending(id: string, outcome: AdmissionOutcome): void {
+    const resolve = this.#pendingById.get(id);
+    this.#pendingById.delete(id);
     resolve?.(outcome);
   }
 }
--- a/packages/routing/src/answerAssembler.test.ts
+++ b/packages/routing/src/answerAssembler.test.ts
@@ -2,7 +2,7 @@
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
 import { AnswerAssembler, toCompletionBody, toCompletionChunks } from './answerAssembler.js';
-import { LiveConsumer } from './eventConsumers.js';
+import { StreamingConsumer } from './eventConsumers.js';
 import type { AnswerSink } from './types.js';
 
 const toChunk = (content: string): string =>
@@ -11,7 +11,7 @@
 const usage = { prompt_tokens: 3, completion_tokens: 2, total_tokens: 5 };
 const lastChunk = JSON.stringify({ choices: [{ delta: {}, finish_reason: 'length' }], usage });
 
-test('puts text, end and usage together', () => {
+test('assembles text, finish reason and usage', () => {
   const assembler = new AnswerAssembler(true);
   assert.equal(
     [toChunk('a'), toChunk('"usage":'), lastChunk].map((data) => assembler.add(data)),
@@ -22,15 +22,15 @@
   assert.equal(assembler.usage, { promptTokens: 3, completionTokens: 2 });
 });
 
-test('looks for usage only where the text is not wanted', () => {
+test('reads only the usage if the text is not kept', () => {
   const assembler = new AnswerAssembler(false);
   [toChunk('a'), 'not read', lastChunk].forEach((data) => assembler.add(data));
   assert.is(assembler.text, '');
   assert.equal(assembler.usage, { promptTokens: 3, completionTokens: 2 });
 });
 
-test('refuses chunks and counts that would make a wrong bill', () => {
-  const wrong = [
+test('rejects malformed chunks and token counts that would cause wrong bills', () => {
+  const malformedChunks = [
     'no JSON',
     'null',
     '5',
@@ -38,7 +38,7 @@
     '{"usage":{"prompt_tokens":-1,"completion_tokens":1}}',
     '{"usage":{"prompt_tokens":"1","completion_tokens":1}}',
   ];
-  wrong.forEach((data) => {
+  malformedChunks.forEach((data) => {
     assert.throws(
       () => new AnswerAssembler(true).add(data),
       (error: unknown) => error instanceof UpstreamBrokenError,
@@ -47,7 +47,7 @@
   });
 });
 
-test('makes whole and streamed answers of the same text, with usage where it is wanted', () => {
+test('builds complete and streamed answers with the same text, and usage on request', () => {
   const fields = {
     requestId: 'r1',
     version: 'small@1',
@@ -57,17 +57,17 @@
   };
   const whole = JSON.parse(toCompletionBody(fields)) as { usage: object };
   assert.equal(whole.usage, usage);
-  const rebuilt = new AnswerAssembler(true);
-  toCompletionChunks(fields, true).forEach((chunk) => rebuilt.add(chunk));
-  assert.equal([rebuilt.text, rebuilt.finishReason], ['two words', 'stop']);
-  assert.equal(rebuilt.usage, fields.usage);
+  const reassembled = new AnswerAssembler(true);
+  toCompletionChunks(fields, true).forEach((chunk) => reassembled.add(chunk));
+  assert.equal([reassembled.text, reassembled.finishReason], ['two words', 'stop']);
+  assert.equal(reassembled.usage, fields.usage);
   assert.is(toCompletionChunks(fields, false).length, 2);
 });
 
-test('takes the usage out of a live answer, and leaves the rest of its chunk', () => {
-  // Symptom: a caller's library waits for the reason of the end, or calls the answer cut.
-  // Sequence: the engine sends usage and reason in one chunk; the caller asks for no usage.
-  // Cause: the whole chunk is dropped for its usage.
+test('removes the usage from a streamed answer and keeps the rest of its chunk', () => {
+  // The engine sends usage and finish reason in one chunk. Dropping the whole chunk for a caller
+  // that asked for no usage makes its library wait for the finish reason or report a truncated
+  // answer.
   const written: string[] = [];
   const sink = {
     begin: () => undefined,
@@ -80,10 +80,10 @@
     offset: index + 1,
     data,
   }));
-  void new LiveConsumer(sink, {}, false).take(events);
+  void new StreamingConsumer(sink, {}, false).take(events);
   const ended = JSON.stringify({ choices: [{ delta: {}, finish_reason: 'length' }] });
   assert.equal(written.splice(0), [toChunk('a'), ended]);
-  void new LiveConsumer(sink, {}, true).take(events);
+  void new StreamingConsumer(sink, {}, true).take(events);
   assert.equal(written, [toChunk('a'), lastChunk, onlyUsage]);
 });
 
--- a/packages/routing/src/answerAssembler.ts
+++ b/packages/routing/src/answerAssembler.ts
@@ -1,7 +1,7 @@
-/** Puts an answer together from an engine's chunks, and finds its usage. */
+/** Assembles an answer from an engine's stream chunks and extracts its token usage. */
 import { UpstreamBrokenError } from '@snipehaven/upstream';
 
-/** The parts of a chunk that matter; all may be missing, and further ones are passed on unread. */
+/** The fields of a chunk that are read here. All are optional; other fields pass through unread. */
 interface Chunk {
   readonly choices?: readonly {
     readonly delta?: { readonly content?: unknown };
@@ -10,34 +10,37 @@
   readonly usage?: { readonly prompt_tokens?: unknown; readonly completion_tokens?: unknown };
 }
 
-const toCount = (value: unknown): number => {
+const parseTokenCount = (value: unknown): number => {
   if (typeof value !== 'number' || !Number.isFinite(value) || value < 0) {
-    throw new UpstreamBrokenError(`a token count is ${JSON.stringify(value)}`);
+    throw new UpstreamBrokenError(`invalid token count: ${JSON.stringify(value)}`);
   }
   return value;
 };
 
-/** Chunks come by the ten thousand a second: a schema library costs more than the rest of the path. */
-const restoreChunk = (data: string): Chunk => {
+/**
+ * Hand-written instead of a schema: at tens of thousands of chunks per second, a schema library
+ * costs more than the rest of the request path.
+ */
+const parseChunk = (data: string): Chunk => {
   try {
     const chunk: unknown = JSON.parse(data);
     if (typeof chunk === 'object' && chunk !== null) {
       return chunk;
     }
   } catch (error) {
-    throw new UpstreamBrokenError('a chunk is not JSON', { cause: error });
+    throw new UpstreamBrokenError('stream chunk is not valid JSON', { cause: error });
   }
-  throw new UpstreamBrokenError('a chunk is not an object');
+  throw new UpstreamBrokenError('stream chunk is not a JSON object');
 };
 
-/** Token counts by the engine's own account. */
+/** Token counts as reported by the engine. */
 export interface TokenUsage {
   readonly promptTokens: number;
   readonly completionTokens: number;
 }
 
-/** Chunks with usage are rare; the others need no parsing on their way to a streaming caller. */
-const USAGE_MARK = '"usage":{';
+/** Few chunks carry usage; the others are forwarded to a streaming caller without being parsed. */
+const USAGE_MARKER = '"usage":{';
 
 export class AnswerAssembler {
   #text = '';
@@ -48,7 +51,7 @@
 
   readonly #keepsText: boolean;
 
-  /** Without text only usage is looked for, which is cheaper. */
+  /** With `keepsText` false only chunks with usage are parsed, which is cheaper. */
   constructor(keepsText: boolean) {
     this.#keepsText = keepsText;
   }
@@ -65,9 +68,9 @@
     return this.#finishReason;
   }
 
-  /** Takes in a chunk; true when it carries the usage. */
+  /** Adds a chunk; returns true if it carries the usage. */
   add(data: string): boolean {
-    const hasUsage = data.includes(USAGE_MARK);
+    const hasUsage = data.includes(USAGE_MARKER);
     if (this.#keepsText || hasUsage) {
       this.#parse(data);
     }
@@ -75,7 +78,7 @@
   }
 
   #parse(data: string): void {
-    const { choices, usage } = restoreChunk(data);
+    const { choices, usage } = parseChunk(data);
     const choice = choices?.[0];
     const content = choice?.delta?.content;
     this.#text += typeof content === 'string' ? content : '';
@@ -84,14 +87,14 @@
     }
     if (usage) {
       this.#usage = {
-        promptTokens: toCount(usage.prompt_tokens),
-        completionTokens: toCount(usage.completion_tokens),
+        promptTokens: parseTokenCount(usage.prompt_tokens),
+        completionTokens: parseTokenCount(usage.completion_tokens),
       };
     }
   }
 }
 
-/** What a whole answer is made from. */
+/** The parts of a complete answer. */
 export interface CompletionFields {
   readonly requestId: string;
   readonly version: string;
@@ -100,7 +103,7 @@
   readonly usage: TokenUsage;
 }
 
-/** OpenAI's body of a whole answer. */
+/** Serializes a complete answer as an OpenAI chat completion. */
 export const toCompletionBody = (fields: CompletionFields): string =>
   JSON.stringify({
     id: `chatcmpl-${fields.requestId}`,
@@ -121,7 +124,7 @@
     },
   });
 
-/** OpenAI's chunks of an answer that was held back until it was judged. */
+/** Serializes an answer that was buffered until it was rated as OpenAI chat completion chunks. */
 export const toCompletionChunks = (
   fields: CompletionFields,
   includesUsage: boolean,
--- a/packages/routing/src/answerWriter.ts
+++ b/packages/routing/src/answerWriter.ts
@@ -1,24 +1,24 @@
-/** Writes the whole answer of a chat request to its caller, streamed or not. */
+/** Writes complete chat answers to the caller, streamed or as one body. */
 import type { StoredAnswer } from '@snipehaven/claims';
 import { DONE_DATA } from '@snipehaven/upstream';
 import { toCompletionBody, toCompletionChunks, type CompletionFields } from './answerAssembler.js';
 import { REPLAYED_HEADER } from './constants.js';
-import { LiveConsumer, type HeldConsumer } from './eventConsumers.js';
+import { StreamingConsumer, type BufferedConsumer } from './eventConsumers.js';
 import type { StepAnswer } from './stepRunner.js';
 import type { AnswerHeaders, AnswerSink, ChatRequest } from './types.js';
 
-/** What an answer consists of, for OpenAI's forms. */
+/** The fields from which OpenAI responses are built. */
 export const toCompletionFields = (requestId: string, answer: StepAnswer): CompletionFields => {
   const { version, text, finishReason, usage } = answer;
   return { requestId, version, text, finishReason, usage };
 };
 
-/** Whether the caller asked for the usage at the end of its stream. */
+/** Whether the caller asked for token usage at the end of its stream. */
 export const includesUsage = ({ body }: ChatRequest): boolean =>
   body.stream_options?.include_usage === true;
 
-/** The parts of a kept answer, as `toCompletionBody` made it. */
-interface KeptCompletion {
+/** The fields read back from a stored answer, in the format of `toCompletionBody`. */
+interface StoredCompletion {
   readonly model: string;
   readonly choices: readonly [
     { readonly message: { readonly content: string }; readonly finish_reason: string },
@@ -26,8 +26,8 @@
   readonly usage: { readonly prompt_tokens: number; readonly completion_tokens: number };
 }
 
-const restoreFields = (requestId: string, body: string): CompletionFields => {
-  const { model, choices, usage } = JSON.parse(body) as KeptCompletion;
+const parseStoredCompletion = (requestId: string, body: string): CompletionFields => {
+  const { model, choices, usage } = JSON.parse(body) as StoredCompletion;
   return {
     requestId,
     version: model,
@@ -49,15 +49,17 @@
   sink.end();
 };
 
-/** Releases an answer: the end of a stream under way, or all of an answer that was held back. */
-export const releaseAnswer = async (
+/**
+ * Delivers an answer: terminates a stream in progress, or sends all of an answer that was buffered.
+ */
+export const deliverAnswer = async (
   sink: AnswerSink,
   request: ChatRequest,
   answer: StepAnswer,
-  consumer: LiveConsumer | HeldConsumer,
+  consumer: StreamingConsumer | BufferedConsumer,
   headers: AnswerHeaders,
 ): Promise<void> => {
-  if (consumer instanceof LiveConsumer) {
+  if (consumer instanceof StreamingConsumer) {
     consumer.begin();
     await sink.writeEvents([DONE_DATA]);
     sink.end();
@@ -71,7 +73,7 @@
   sink.send(200, 'application/json', toCompletionBody(fields), headers);
 };
 
-/** Gives a retry the answer that was kept for it. */
+/** Sends a retry the answer stored for its idempotency key. */
 export const replayAnswer = async (
   sink: AnswerSink,
   request: ChatRequest,
@@ -83,5 +85,5 @@
     sink.send(answer.status, answer.contentType, answer.body, replayed);
     return;
   }
-  await writeStream(sink, request, restoreFields(request.requestId, answer.body), replayed);
+  await writeStream(sink, request, parseStoredCompletion(request.requestId, answer.body), replayed);
 };
--- a/packages/routing/src/chatBody.ts
+++ b/packages/routing/src/chatBody.ts
@@ -1,4 +1,4 @@
-/** The gate that chat bodies come through. */
+/** Validates chat completion bodies. */
 import { z } from 'zod';
 import { CHARS_PER_TOKEN, DEFAULT_COMPLETION_TOKENS } from './constants.js';
 import { Refusal } from './refusal.js';
@@ -21,10 +21,10 @@
   n: z.literal(1, 'only one choice is supported').nullish(),
 });
 
-/** A checked body of OpenAI's chat completions; further fields pass through to the engine. */
+/** A validated OpenAI chat completion body; unknown fields are passed to the engine. */
 export type ChatBody = z.infer<typeof chatBodySchema>;
 
-/** Checks a chat body; throws a refusal that names path and rule. */
+/** Validates a chat body; throws a refusal that names the path and the rule violated. */
 export const restoreChatBody = (input: unknown): ChatBody => {
   const result = chatBodySchema.safeParse(input);
   if (result.success) {
@@ -42,22 +42,22 @@
   return (content ?? []).map((part) => part.text ?? '').join('');
 };
 
-/** All message contents, joined as the engines' prefix caches do. */
+/** All message contents, joined in the same way as in the engines' prefix caches. */
 export const getPromptText = (body: ChatBody): string =>
   body.messages.map((message) => getContentText(message.content)).join('\n');
 
-/** A rough count of prompt tokens, for plans; bills use the engine's count. */
+/** A rough prompt token count for planning; billing uses the engine's count. */
 export const estimatePromptTokens = (promptText: string): number =>
   Math.max(1, Math.ceil(promptText.length / CHARS_PER_TOKEN));
 
-/** How many tokens the answer is expected to have. */
+/** The number of completion tokens that planning assumes. */
 export const estimateCompletionTokens = (body: ChatBody): number =>
   Math.min(
     DEFAULT_COMPLETION_TOKENS,
     body.max_completion_tokens ?? body.max_tokens ?? DEFAULT_COMPLETION_TOKENS,
   );
 
-/** The body that goes to the engine: always streamed, so that it can be resumed, with usage. */
+/** The body sent to the engine: always streamed, so that the run can be resumed, and with usage. */
 export const toEngineBody = (body: ChatBody, version: string): string =>
   JSON.stringify({
     ...body,
--- a/packages/routing/src/chatRun.ts
+++ b/packages/routing/src/chatExecution.ts
@@ -1,11 +1,11 @@
-/** One chat request, from admission to the end of its answer. */
+/** Executes one chat request, from admission to the end of its answer. */
 import { createHash } from 'node:crypto';
 import { isPromiseKept, type VersionId } from '@snipehaven/common';
 import type { Claim } from '@snipehaven/claims';
 import type { PlanStep } from '@snipehaven/policy';
 import type { EvidenceSubject } from '@snipehaven/rollouts';
 import { toCompletionBody } from './answerAssembler.js';
-import { includesUsage, releaseAnswer, replayAnswer, toCompletionFields } from './answerWriter.js';
+import { includesUsage, deliverAnswer, replayAnswer, toCompletionFields } from './answerWriter.js';
 import { getPromptText } from './chatBody.js';
 import {
   PLAN_HEADER,
@@ -16,12 +16,12 @@
   SESSION_MOVED_HEADER,
   VERSION_HEADER,
 } from './constants.js';
-import { closeRefused } from './closeRefused.js';
+import { finalizeRefused } from './finalizeRefused.js';
 import { refuseHeld } from './crashes/index.js';
 import { createPin } from './createPin.js';
 import type { RoutingDependencies } from './dependencies.js';
-import { getBillingKey, keepAnswer, takeClaim } from './claimGuard.js';
-import { HeldConsumer, LiveConsumer } from './eventConsumers.js';
+import { getBillingKey, storeAnswer, acquireClaim } from './requestClaims.js';
+import { BufferedConsumer, StreamingConsumer } from './eventConsumers.js';
 import { admit, type Admission } from './admission.js';
 import { hashRequest } from './hashRequest.js';
 import { createNoPlanRefusal } from './noPlanRefusal.js';
@@ -35,7 +35,7 @@
 import {
   NoUpstreamError,
   StepRunner,
-  type RetryAllowance,
+  type SharedRetryBudget,
   type StepAnswer,
   type StepContext,
 } from './stepRunner.js';
@@ -50,14 +50,14 @@
 
 const MAX_REPLANS = 4;
 
-export class ChatRun {
+export class ChatExecution {
   readonly #deps: RoutingDependencies;
 
   readonly #request: ChatRequest;
 
   readonly #sink: AnswerSink;
 
-  readonly #retries: RetryAllowance;
+  readonly #retries: SharedRetryBudget;
 
   readonly #shadows: ShadowRunner;
 
@@ -73,14 +73,16 @@
 
   #claim: Claim | undefined;
 
-  /** The stable version's part of a pair, released or not. */
-  #pairedText: string | undefined;
+  /**
+   * The stable version's answer, for rating against the candidate's; set even if it was not sent.
+   */
+  #stableAnswerText: string | undefined;
 
   constructor(
     deps: RoutingDependencies,
     request: ChatRequest,
     sink: AnswerSink,
-    retries: RetryAllowance,
+    retries: SharedRetryBudget,
     shadows: ShadowRunner,
   ) {
     this.#deps = deps;
@@ -106,7 +108,7 @@
     let admission: Admission | undefined;
     try {
       refuseHeld(this.#deps.crashes, this.#request, this.#tracker);
-      if (await this.#replayClaimed()) {
+      if (await this.#claimOrReplay()) {
         return;
       }
       const session = await resolveSession(this.#request, this.#deps);
@@ -122,13 +124,15 @@
     }
   }
 
-  /** Takes the claim of a request that must run once only; true where an earlier answer was sent. */
-  async #replayClaimed(): Promise<boolean> {
+  /**
+   * Acquires the claim of a request that must run only once; true if a stored answer was replayed.
+   */
+  async #claimOrReplay(): Promise<boolean> {
     const { options, identity, requestId } = this.#request;
     if (options.isIdempotent) {
       return false;
     }
-    const outcome = await takeClaim(this.#deps, this.#tracker, {
+    const outcome = await acquireClaim(this.#deps, this.#tracker, {
       teamUid: identity.team.metadata.uid,
       key: options.idempotencyKey ?? requestId,
       bodyHash: this.#hashBody(),
@@ -139,12 +143,12 @@
       return true;
     }
     this.#claim = outcome.claim;
-    // The answer is kept for the caller's retry, so the run goes on without the caller.
+    // The answer is stored for a retry, so the run continues without the caller.
     this.#signal.detachCaller();
     return false;
   }
 
-  /** Only requests with a key or a claim need it: it costs a pass over the whole body. */
+  /** Called only for requests with an idempotency key or a claim, as it hashes the whole body. */
   #hashBody(): string {
     return hashRequest('chat', JSON.stringify(this.#request.body));
   }
@@ -170,7 +174,10 @@
     return plan;
   }
 
-  /** Spills to the next version that meets the target while nothing has run and none has room. */
+  /**
+   * Moves on to the next version that meets the quality target while nothing has run and the chosen
+   * version has no upstream with capacity.
+   */
   async #answer(session: SessionState, firstPlan: ChatPlan): Promise<void> {
     const excluded: VersionId[] = [];
     for (let tries = 0; ; tries += 1) {
@@ -180,11 +187,11 @@
         return;
       } catch (error) {
         const first = plan.steps[0]?.version;
-        const canSpill =
+        const canTryAnotherVersion =
           error instanceof NoUpstreamError &&
           error.verdict === 'notRun' &&
           session.kind !== 'pinned';
-        if (!canSpill || first === undefined || tries >= MAX_REPLANS) {
+        if (!canTryAnotherVersion || first === undefined || tries >= MAX_REPLANS) {
           throw error;
         }
         excluded.push(first);
@@ -201,29 +208,30 @@
       { requestId, team },
       { versions, reason: plan.reason },
     );
-    const settled = await this.#pinFirst(session, plan);
-    for (const [index, step] of settled.steps.entries()) {
-      const isLast = index === settled.steps.length - 1;
-      const answer = await this.#runStep(step, index, isLast, settled, session);
+    const effectivePlan = await this.#pinBeforeRun(session, plan);
+    for (const [index, step] of effectivePlan.steps.entries()) {
+      const isLast = index === effectivePlan.steps.length - 1;
+      const answer = await this.#runStep(step, index, isLast, effectivePlan, session);
       if (answer !== undefined) {
-        this.#finish(answer, settled, index);
+        this.#finish(answer, effectivePlan, index);
         return;
       }
     }
   }
 
   /**
-   * What goes wrong: two first requests of a session that carries only the caller's own id run at once and
-   * get different versions. The pin is therefore taken before the run, and the earlier one counts.
+   * Two concurrent first requests of a session identified only by the caller's own id could be
+   * answered by different versions. The pin is therefore stored before the run; the earlier pin
+   * wins.
    */
-  async #pinFirst(session: SessionState, plan: ChatPlan): Promise<ChatPlan> {
+  async #pinBeforeRun(session: SessionState, plan: ChatPlan): Promise<ChatPlan> {
     const { callerSession } = this.#request.options;
     const version = plan.steps[0]?.version;
     if (callerSession === undefined || session.kind === 'pinned' || version === undefined) {
       return plan;
     }
-    const wished = createPin(this.#request, session, version);
-    const pin = await this.#deps.pins.pin(wished);
+    const requestedPin = createPin(this.#request, session, version);
+    const pin = await this.#deps.pins.pin(requestedPin);
     if (pin.version === version) {
       return plan;
     }
@@ -231,7 +239,7 @@
     return this.#plan(pinned, []);
   }
 
-  /** Undefined where the answer was rated too low and the next step must answer. */
+  /** Returns undefined if the answer was rated too low and the next step must answer. */
   async #runStep(
     step: PlanStep,
     index: number,
@@ -240,31 +248,31 @@
     session: SessionState,
   ): Promise<StepAnswer | undefined> {
     this.#assertAllowed(step.version, session);
-    const isJudged = step.acceptAboveScore !== undefined && !isLast;
-    const isLive = this.#request.body.stream === true && !isJudged;
+    const isRatedFirst = step.acceptAboveScore !== undefined && !isLast;
+    const isStreamedLive = this.#request.body.stream === true && !isRatedFirst;
     const isPaired = index === 0 && plan.pair !== undefined;
-    const isKept = plan.shouldRateAfterRelease || isPaired || this.#claim !== undefined;
-    const keepsText = !isLive || isKept;
+    const needsText = plan.shouldRateAfterRelease || isPaired || this.#claim !== undefined;
+    const keepsText = !isStreamedLive || needsText;
     const headers = this.#getHeaders(step.version, plan, session);
-    const consumer = isLive
-      ? new LiveConsumer(this.#sink, headers, includesUsage(this.#request))
-      : new HeldConsumer();
+    const consumer = isStreamedLive
+      ? new StreamingConsumer(this.#sink, headers, includesUsage(this.#request))
+      : new BufferedConsumer();
     const runner = new StepRunner(
       this.#deps,
       this.#createContext(session, keepsText),
       this.#retries,
     );
     const subject = this.#getSubject(step.version, index > 0);
-    const answer = await this.#runRecorded(runner, step, consumer, subject);
+    const answer = await this.#runAndRecordOutcome(runner, step, consumer, subject);
     if (isPaired) {
-      this.#pairedText = answer.text;
+      this.#stableAnswerText = answer.text;
     }
-    if (isJudged && !(await this.#isAccepted(answer, step, subject))) {
-      this.#noteEscalation(answer);
+    if (isRatedFirst && !(await this.#isAccepted(answer, step, subject))) {
+      this.#recordEscalation(answer);
       return undefined;
     }
     await this.#settle();
-    await releaseAnswer(this.#sink, this.#request, answer, consumer, headers);
+    await deliverAnswer(this.#sink, this.#request, answer, consumer, headers);
     return answer;
   }
 
@@ -283,10 +291,10 @@
     };
   }
 
-  async #runRecorded(
+  async #runAndRecordOutcome(
     runner: StepRunner,
     step: PlanStep,
-    consumer: LiveConsumer | HeldConsumer,
+    consumer: StreamingConsumer | BufferedConsumer,
     subject: EvidenceSubject,
   ): Promise<StepAnswer> {
     const startedAtMs = Date.now();
@@ -303,7 +311,7 @@
       const hasRun = error instanceof Refusal && error.code === 'upstreamFailed';
       if (hasRun) {
         const totalMs = Date.now() - startedAtMs;
-        const end = consumer.hasReleased ? 'cut' : 'error';
+        const end = consumer.hasSentToCaller ? 'cut' : 'error';
         this.#deps.evidence.recordEnding(subject, { end, firstTokenMs: totalMs, totalMs });
       }
       throw error;
@@ -316,18 +324,21 @@
   }
 
   #assertAllowed(version: VersionId, session: SessionState): void {
-    const detail = `${this.#request.requestId} planned on ${version}`;
+    const detail = `${this.#request.requestId} was planned on ${version}`;
     const isAllowed = isVersionAllowed(this.#request.identity.team, version);
-    const isKept = session.kind !== 'pinned' || session.pin.version === version;
+    const matchesPin = session.kind !== 'pinned' || session.pin.version === version;
     if (
       !isPromiseKept(isAllowed, 'allowedVersion', detail) ||
-      !isPromiseKept(isKept, 'sessionKeepsVersion', detail)
+      !isPromiseKept(matchesPin, 'sessionKeepsVersion', detail)
     ) {
       throw new Refusal('noUpstream', detail, this.#tracker);
     }
   }
 
-  /** Without a rating in time the dearer version answers: no cascade on faith. */
+  /**
+   * If no rating arrives in time, the more expensive version answers: an unrated answer is never
+   * accepted in a cascade.
+   */
   async #isAccepted(
     answer: StepAnswer,
     step: PlanStep,
@@ -346,13 +357,13 @@
     }
   }
 
-  #noteEscalation(answer: StepAnswer): void {
+  #recordEscalation(answer: StepAnswer): void {
     const { requestId } = this.#request;
     this.#deps.timeline.record('attemptEscalated', { requestId, version: answer.version });
   }
 
   async #settle(): Promise<void> {
-    await this.#account.ensureHeld();
+    await this.#account.ensureReplicated();
     await this.#account.settle('answered');
   }
 
@@ -379,11 +390,11 @@
     if (plan.shadowVersion !== undefined) {
       this.#startShadow(plan.shadowVersion, stepIndex > 0);
     }
-    if (plan.pair !== undefined && this.#pairedText !== undefined) {
-      this.#startPair(plan.pair, this.#pairedText);
+    if (plan.pair !== undefined && this.#stableAnswerText !== undefined) {
+      this.#startPair(plan.pair, this.#stableAnswerText);
     }
     if (this.#claim !== undefined) {
-      keepAnswer(this.#deps, this.#claim, {
+      storeAnswer(this.#deps, this.#claim, {
         status: 200,
         contentType: 'application/json',
         body: toCompletionBody(toCompletionFields(this.#request.requestId, answer)),
@@ -393,7 +404,10 @@
     }
   }
 
-  /** The shadow's rating counts as a direct one and, where the request escalated, as such too. */
+  /**
+   * The shadow answer's rating counts as direct evidence and, if the request was escalated, also as
+   * evidence for escalated requests.
+   */
   #startShadow(version: VersionId, hasEscalated: boolean): void {
     const direct = this.#getSubject(version, false);
     const escalated = this.#getSubject(version, true);
@@ -438,7 +452,7 @@
     this.#deps.timeline.record('requestRefused', { requestId, team }, detail);
     this.#deps.metrics.recordRefusal(team, refusal.code);
     this.#sink.refuse(refusal, this.#getBaseHeaders());
-    closeRefused(this.#deps, {
+    finalizeRefused(this.#deps, {
       refusal,
       tracker: this.#tracker,
       account: this.#account,
--- a/packages/routing/src/constants.ts
+++ b/packages/routing/src/constants.ts
@@ -1,6 +1,6 @@
-/** Names and bounds of the request path. */
+/** Header names and limits of the request path. */
 
-/** Caller headers. */
+/** Request headers. */
 export const TASK_HEADER = 'x-snipehaven-task';
 export const SESSION_HEADER = 'x-snipehaven-session';
 export const CALLER_SESSION_HEADER = 'x-session-id';
@@ -9,7 +9,7 @@
 export const DEADLINE_HEADER = 'x-snipehaven-deadline-ms';
 export const PRIORITY_HEADER = 'x-snipehaven-priority';
 
-/** Answer headers. */
+/** Response headers. */
 export const REQUEST_ID_HEADER = 'x-request-id';
 export const VERSION_HEADER = 'x-snipehaven-version';
 export const PLAN_HEADER = 'x-snipehaven-plan';
@@ -17,7 +17,7 @@
 export const SESSION_MOVED_HEADER = 'x-snipehaven-session-moved';
 export const REPLAYED_HEADER = 'x-snipehaven-replayed';
 
-/** The model name that leaves the choice to the router. */
+/** The model name with which a caller lets the router choose the model. */
 export const AUTO_MODEL = 'auto';
 
 export const CHARS_PER_TOKEN = 4;
@@ -26,8 +26,8 @@
 export const PREFIX_DIGEST_CHARS = 16;
 
 export const MAX_RESUMES = 4;
-export const RESUME_PAUSE_MS = 50;
-/** How long an upstream may take work after it was known to leave. */
+export const RESUME_BACKOFF_MS = 50;
+/** How long an upstream may still be sent work after it was first known to be leaving. */
 export const LEAVING_GRACE_MS = 2_000;
 export const RATING_COST_MICRO_USD = 20;
 export const RATING_EXPECTED_MS = 60;
--- a/packages/routing/src/crashes/refuseHeld.ts
+++ b/packages/routing/src/crashes/assertNotHeld.ts
@@ -1,19 +1,19 @@
-/** Refuses a chat under which engines ended, before it is at another one. */
+/** Rejects a chat under which engines have crashed before it reaches another engine. */
 import { Refusal } from '../refusal.js';
 import type { RunTracker } from '../runTracker.js';
 import type { ChatRequest } from '../types.js';
-import type { CrashTally } from './crashTally.js';
+import type { CrashTally } from './crashTracker.js';
 import { digestChat } from './digestChat.js';
 
-/** Throws the refusal, with when it may be asked again. */
-export const refuseHeld = (
+/** Throws a `held` refusal with the remaining hold time as retry delay. */
+export const assertNotHeld = (
   crashes: CrashTally,
   request: ChatRequest,
   tracker: RunTracker,
 ): void => {
   const retryAfterMs = crashes.isEmpty ? undefined : crashes.getHoldMs(digestChat(request));
   if (retryAfterMs !== undefined) {
-    const message = 'held back: engines ended each time they ran it';
+    const message = 'held: engines crashed each time they ran this request';
     throw new Refusal('held', message, tracker, { retryAfterMs });
   }
 };
--- a/packages/routing/src/crashes/digestChat.ts
+++ b/packages/routing/src/crashes/digestChat.ts
@@ -1,9 +1,9 @@
-/** Names a chat by what is asked and by whom, whatever attempt or daemon brings it. */
+/** Identifies a chat by team and body, independently of the attempt or daemon that handles it. */
 import { asId, type RequestDigest } from '@snipehaven/common';
 import { hashRequest } from '../hashRequest.js';
 import type { ChatRequest } from '../types.js';
 
-/** 128 bits. */
+/** 32 hexadecimal digits are 128 bits. */
 const DIGEST_CHARS = 32;
 
 export const digestChat = ({ identity, body }: ChatRequest): RequestDigest => {
--- a/packages/routing/src/crashes/index.ts
+++ b/packages/routing/src/crashes/index.ts
@@ -1,3 +1,3 @@
-export { CrashTally, type LostChat } from './crashTally.js';
+export { CrashTally, type CrashedChat as LostChat } from './crashTracker.js';
 export { digestChat } from './digestChat.js';
-export { refuseHeld } from './refuseHeld.js';
+export { assertNotHeld as refuseHeld } from './assertNotHeld.js';
--- a/packages/routing/src/createPin.ts
+++ b/packages/routing/src/createPin.ts
@@ -1,10 +1,12 @@
-/** The pin of a session that runs on a version. */
 import { getModelOfVersion, type VersionId } from '@snipehaven/common';
 import type { Pin } from '@snipehaven/sessions';
 import type { SessionState } from './sessionResolver.js';
 import type { ChatRequest } from './types.js';
 
-/** Keeps the session's name and start; a move raises the generation. */
+/**
+ * Creates the pin of a session that runs on a version. The session's id and start time are kept;
+ * moving to another version increments the generation.
+ */
 export const createPin = (
   { options, requestId, identity }: ChatRequest,
   session: SessionState,
--- a/packages/routing/src/dependencies.ts
+++ b/packages/routing/src/dependencies.ts
@@ -1,4 +1,4 @@
-/** What the request path works with. */
+/** Dependencies of the request path. */
 import type { DataCentreId, IncarnationId, Logger, Random } from '@snipehaven/common';
 import type { ClaimStore } from '@snipehaven/claims';
 import type { ConfigurationStore, SafeMoves } from '@snipehaven/configuration';
@@ -7,19 +7,19 @@
 import type { PinDirectory, SessionTokens } from '@snipehaven/sessions';
 import type { TimelineRecorder } from '@snipehaven/timeline';
 import type { EngineClient, ServiceClient } from '@snipehaven/upstream';
-import type { AdmissionGate } from './admissionGate.js';
+import type { AdmissionGate } from './admissionController.js';
 import type { CrashTally } from './crashes/index.js';
-import type { LatencyBook } from './latencyBook.js';
+import type { LatencyBook } from './latencyTracker.js';
 import type { TeamLimiter } from './teamLimiter.js';
 import type { UpstreamRegistry } from './upstreamRegistry.js';
 
-/** Takes note of how requests end. */
+/** Records the outcomes of requests. */
 export interface RoutingMetrics {
   recordAnswer(answer: AnswerMeasure): void;
   recordRefusal(team: string, code: string): void;
 }
 
-/** What is measured of an answer. */
+/** The measurements recorded for an answer. */
 export interface AnswerMeasure {
   readonly team: string;
   readonly version: string;
@@ -48,7 +48,7 @@
   readonly pins: PinDirectory;
   readonly evidence: EvidenceBook;
   readonly assigner: RolloutAssigner;
-  /** Engines that ended, and chats that are held back for it. */
+  /** Engine crashes, and the chats that are held because of them. */
   readonly crashes: CrashTally;
   readonly engines: EngineClient;
   readonly services: ServiceClient;
--- a/packages/routing/src/engineAttempt.test.ts
+++ b/packages/routing/src/engineAttempt.test.ts
@@ -20,7 +20,7 @@
 
 setInvariantsFatal(true);
 
-/** What one connection brings: offsets in batches, then its end. */
+/** The events that one connection delivers, as batches of offsets, and how it ends. */
 interface Connection {
   readonly batches: readonly (readonly number[])[];
   readonly error?: Error;
@@ -28,7 +28,7 @@
 
 interface Outcome {
   readonly offsets: readonly number[];
-  /** Offset that each resume asked to go on after. */
+  /** The offset after which each resume asked to continue. */
   readonly resumes: readonly number[];
   readonly starts: number;
   readonly verdict: RunVerdict;
@@ -59,23 +59,23 @@
 const test = suite('engineAttempt');
 let clock: Clock;
 
-/** Runs an attempt over connections that come one after the other. */
+/** Runs an attempt over a sequence of connections. */
 const attempt = async (
   connections: readonly Connection[],
   signal: AbortSignal = new AbortController().signal,
 ): Promise<Outcome> => {
-  const left = [...connections];
-  const take = (): Connection => left.shift() ?? { batches: [], error: unknown };
+  const remaining = [...connections];
+  const takeConnection = (): Connection => remaining.shift() ?? { batches: [], error: unknown };
   const resumes: number[] = [];
   let starts = 0;
   const engines = {
     start: () => {
       starts += 1;
-      return play(take());
+      return play(takeConnection());
     },
     resume: (_run: EngineRun, afterOffset: number) => {
       resumes.push(afterOffset);
-      return play(take());
+      return play(takeConnection());
     },
   } as unknown as EngineClient;
   const tracker = new RunTracker();
@@ -113,7 +113,7 @@
   clock.uninstall();
 });
 
-/** Connections that together bring the whole answer, and the resumes that it takes. */
+/** Connections that together deliver the whole answer, with the resumes they require. */
 const recoveries: readonly (readonly [string, readonly Connection[], readonly number[]])[] = [
   ['one connection', [{ batches: [[1, 2], [3], [4]] }], []],
   ['silent', [{ batches: [[1, 2]], error: silent }, { batches: [[3, 4]] }], [2]],
@@ -130,7 +130,7 @@
   ['a gap between batches', [{ batches: [[1], [3]] }, { batches: [[2, 3, 4]] }], [1]],
   ['a gap within a batch', [{ batches: [[1, 2, 4]] }, { batches: [[1, 2, 3, 4]] }], [0]],
   [
-    'doubled events',
+    'duplicate events',
     [
       { batches: [[1, 2]], error: broken },
       {
@@ -142,7 +142,7 @@
     ],
     [2],
   ],
-  ['an end without the final mark', [{ batches: [[1, 2]] }, { batches: [[3, 4]] }], [2]],
+  ['an end without the final [DONE]', [{ batches: [[1, 2]] }, { batches: [[3, 4]] }], [2]],
   [
     'no connection for the resume',
     [{ batches: [[1]], error: broken }, { batches: [], error: refused }, { batches: [[2, 3, 4]] }],
@@ -150,10 +150,10 @@
   ],
 ];
 
-test('reads each event exactly once, in order, by one run', async () => {
-  // Symptom: an answer lacks a part, has one twice, or is made by two runs.
-  // Sequence: connections to the engine go silent, break, skip or repeat events while the run goes on.
-  // Cause: what was read is counted before it is passed on, or the run is started again.
+test('reads each event exactly once and in order, from a single run', async () => {
+  // Connections go silent, break, skip or repeat events while the run continues. Parts of the
+  // answer are lost or repeated if events are counted as read before they are passed on, and a
+  // second run makes the answer if the run is started again.
   for (const [name, connections, resumes] of recoveries) {
     const outcome = await attempt(connections);
     assert.is(outcome.error, undefined, name);
@@ -166,7 +166,7 @@
 
 const failed = new UpstreamFailedError(500, 'failed');
 
-/** Connections that do not bring the whole answer, and what is then known of the run. */
+/** Connections that do not deliver the whole answer, and the resulting verdict about the run. */
 const losses: readonly (readonly [string, readonly Connection[], Error, RunVerdict])[] = [
   ['refused', [{ batches: [], error: refused }], refused, 'notRun'],
   ['failed', [{ batches: [], error: failed }], failed, 'unknown'],
@@ -176,9 +176,9 @@
     unknown,
     'unknown',
   ],
-  ['unknown in mid-answer', [{ batches: [[1]], error: broken }], unknown, 'ran'],
+  ['unknown in the middle of the answer', [{ batches: [[1]], error: broken }], unknown, 'ran'],
   [
-    'silent, then never reached again',
+    'silent, then unreachable for good',
     [
       { batches: [], error: silent },
       ...Array.from({ length: MAX_RESUMES }, () => ({ batches: [], error: refused })),
@@ -194,10 +194,9 @@
   ],
 ];
 
-test('calls a run not run only where the engine refused its start', async () => {
-  // Symptom: a filing is made twice.
-  // Sequence: a run is lost from sight; the engine, restarted or unreachable, knows nothing of it.
-  // Cause: what a resume says is taken for a refusal of the run.
+test('reports notRun only if the engine refused to start the run', async () => {
+  // The engine restarts or becomes unreachable and no longer knows the run. If the failed resume
+  // were mistaken for a refusal of the run, a filing could be submitted twice.
   for (const [name, connections, error, verdict] of losses) {
     const outcome = await attempt(connections);
     assert.is(outcome.error, error, name);
@@ -206,7 +205,7 @@
   }
 });
 
-test('resumes nothing for a request that has ended', async () => {
+test('does not resume a request that was aborted', async () => {
   const controller = new AbortController();
   setTimeout(() => controller.abort(), ABORT_AFTER_MS);
   const outcome = await attempt([{ batches: [[1]], error: silent }], controller.signal);
--- a/packages/routing/src/eventConsumers.ts
+++ b/packages/routing/src/eventConsumers.ts
@@ -1,21 +1,21 @@
-/** Where the events of a running answer go: at once to the caller, or nowhere until it is judged. */
+/** Consumers of a running answer's events: stream them to the caller, or hold them until rating. */
 import type { EngineEvent } from '@snipehaven/upstream';
 import type { EventConsumer } from './stepRunner.js';
 import type { AnswerHeaders, AnswerSink } from './types.js';
 
-const USAGE_MARK = '"usage":{';
+const USAGE_MARKER = '"usage":{';
 
 /**
- * The chunk without its usage; undefined where nothing else is in it. Engines may put the usage into the
- * chunk that ends the answer: dropped as a whole, it would take `finish_reason` with it.
+ * Removes the usage from a chunk; undefined if the chunk contains nothing else. Engines may send
+ * usage in the chunk that ends the answer; dropping that chunk would lose its `finish_reason`.
  */
 const dropUsage = (data: string): string | undefined => {
   const chunk = JSON.parse(data) as { readonly choices?: readonly unknown[] };
   return chunk.choices?.length ? JSON.stringify({ ...chunk, usage: undefined }) : undefined;
 };
 
-/** Passes events on as they come. */
-export class LiveConsumer implements EventConsumer {
+/** Streams events to the caller as they arrive. */
+export class StreamingConsumer implements EventConsumer {
   readonly #sink: AnswerSink;
 
   readonly #headers: AnswerHeaders;
@@ -30,7 +30,7 @@
     this.#includesUsage = includesUsage;
   }
 
-  get hasReleased(): boolean {
+  get hasSentToCaller(): boolean {
     return this.#hasBegun;
   }
 
@@ -43,21 +43,23 @@
 
   take(events: readonly EngineEvent[]): Promise<void> | undefined {
     this.begin();
-    return this.#sink.writeEvents(events.flatMap((event) => this.#toWanted(event.data)));
+    return this.#sink.writeEvents(events.flatMap((event) => this.#filterUsage(event.data)));
   }
 
-  #toWanted(data: string): readonly string[] {
-    if (this.#includesUsage || !data.includes(USAGE_MARK)) {
+  #filterUsage(data: string): readonly string[] {
+    if (this.#includesUsage || !data.includes(USAGE_MARKER)) {
       return [data];
     }
-    const rest = dropUsage(data);
-    return rest === undefined ? [] : [rest];
+    const withoutUsage = dropUsage(data);
+    return withoutUsage === undefined ? [] : [withoutUsage];
   }
 }
 
-/** Keeps events back: the answer is released whole, or replaced. */
-export class HeldConsumer implements EventConsumer {
-  readonly hasReleased = false;
+/**
+ * Sends nothing while the answer runs: it is sent as a whole later, or replaced by another answer.
+ */
+export class BufferedConsumer implements EventConsumer {
+  readonly hasSentToCaller = false;
 
   take(): undefined {
     return undefined;
--- a/packages/routing/src/hashRequest.ts
+++ b/packages/routing/src/hashRequest.ts
@@ -1,6 +1,5 @@
-/** Tells by a digest what is asked. */
 import { createHash } from 'node:crypto';
 
-/** The digest that tells whether two requests under one key ask for the same. */
+/** A digest that tells whether two requests under one idempotency key are the same request. */
 export const hashRequest = (scope: string, body: string | Uint8Array): string =>
   createHash('sha256').update(scope).update('\0').update(body).digest('hex');
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,9 +1,9 @@
-export * from './admissionGate.js';
+export * from './admissionController.js';
 export * from './chatBody.js';
 export * from './constants.js';
 export { CrashTally } from './crashes/index.js';
 export * from './dependencies.js';
-export * from './latencyBook.js';
+export * from './latencyTracker.js';
 export * from './refusal.js';
 export * from './router.js';
 export * from './runTracker.js';
--- a/packages/routing/src/isLeavingByOperator.ts
+++ b/packages/routing/src/isDrainedByOperator.ts
@@ -1,13 +1,15 @@
-/** Upstreams that operators want no new work sent to. */
 import type { SafeMoves } from '@snipehaven/configuration';
 
-interface PlacedUpstream {
+interface UpstreamLocation {
   readonly id: string;
   readonly spec: { readonly dataCentre: string };
 }
 
-/** Drained itself, or in a data centre that is evacuated. */
-export const isLeavingByOperator = (
+/**
+ * Whether operators have stopped new work for the upstream: by draining it, or by evacuating its
+ * data centre.
+ */
+export const isDrainedByOperator = (
   safeMoves: Pick<SafeMoves, 'isActive'>,
-  { id, spec }: PlacedUpstream,
+  { id, spec }: UpstreamLocation,
 ): boolean => safeMoves.isActive('drain', id) || safeMoves.isActive('evacuate', spec.dataCentre);
--- a/packages/routing/src/latencyBook.ts
+++ b/packages/routing/src/latencyTracker.ts
@@ -1,21 +1,22 @@
-/** Moving averages of how fast each version answers. */
+/** Exponential moving averages of each version's latency. */
 
-/** Expected speed of a version. */
+/** The expected latency of a version. */
 export interface VersionLatency {
   readonly firstTokenMs: number;
   readonly msPerToken: number;
 }
 
-const WEIGHT = 0.1;
-const INITIAL: VersionLatency = { firstTokenMs: 300, msPerToken: 15 };
+const SMOOTHING_FACTOR = 0.1;
+const INITIAL_LATENCY: VersionLatency = { firstTokenMs: 300, msPerToken: 15 };
 
-const move = (average: number, sample: number): number => average + WEIGHT * (sample - average);
+const updateAverage = (average: number, sample: number): number =>
+  average + SMOOTHING_FACTOR * (sample - average);
 
 export class LatencyBook {
   readonly #byVersion = new Map<string, VersionLatency>();
 
   get(version: string): VersionLatency {
-    return this.#byVersion.get(version) ?? INITIAL;
+    return this.#byVersion.get(version) ?? INITIAL_LATENCY;
   }
 
   record(version: string, firstTokenMs: number, totalMs: number, completionTokens: number): void {
@@ -25,8 +26,8 @@
       version,
       present
         ? {
-            firstTokenMs: move(present.firstTokenMs, firstTokenMs),
-            msPerToken: move(present.msPerToken, msPerToken),
+            firstTokenMs: updateAverage(present.firstTokenMs, firstTokenMs),
+            msPerToken: updateAverage(present.msPerToken, msPerToken),
           }
         : { firstTokenMs, msPerToken },
     );
--- a/packages/routing/src/planChat.test.ts
+++ b/packages/routing/src/planChat.test.ts
@@ -4,8 +4,8 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { RoutingDependencies } from './dependencies.js';
-import { LatencyBook } from './latencyBook.js';
-import { matchesWish, planChat, type ChatPlan } from './planChat.js';
+import { LatencyBook } from './latencyTracker.js';
+import { matchesRequestedModel, planChat, type ChatPlan } from './planChat.js';
 import type { SessionState } from './sessionResolver.js';
 import { createTeam, createVersion, createView } from './testSupport/resources.js';
 import type { ChatRequest } from './types.js';
@@ -14,8 +14,8 @@
 
 const test = suite('planChat');
 
-/** What a test changes of the world in which a request is planned. */
-interface Situation {
+/** The inputs of planning that a test changes. */
+interface PlanScenario {
   readonly model?: string;
   readonly team?: object;
   readonly session?: SessionState;
@@ -36,16 +36,16 @@
   createVersion('secret@1', 0.1, 0.99),
 ];
 
-const createDependencies = (situation: Situation): RoutingDependencies =>
+const createDependencies = (scenario: PlanScenario): RoutingDependencies =>
   ({
     configuration: { getView: () => createView(versions) },
     safeMoves: {
-      isVersionBlocked: (version: string) => situation.blocked?.includes(version) === true,
+      isVersionBlocked: (version: string) => scenario.blocked?.includes(version) === true,
     },
     registry: {
-      hasVersion: (version: string) => situation.unserved?.includes(version) !== true,
+      hasVersion: (version: string) => scenario.unserved?.includes(version) !== true,
     },
-    assigner: { assign: () => situation.assignment },
+    assigner: { assign: () => scenario.assignment },
     evidence: {
       isRaterUp: () => false,
       getEvidence: (_subject: unknown, prior: PriorQuality) => addPrior(noEvidence, prior),
@@ -55,29 +55,26 @@
     settings: {},
   }) as unknown as RoutingDependencies;
 
-const plan = (situation: Situation): ChatPlan => {
+const plan = (scenario: PlanScenario): ChatPlan => {
   const request = {
     requestId: 'r1',
-    identity: { team: createTeam(situation.team), keyName: 'main' },
-    body: { model: situation.model ?? 'auto', messages: [{ role: 'user', content: 'text' }] },
+    identity: { team: createTeam(scenario.team), keyName: 'main' },
+    body: { model: scenario.model ?? 'auto', messages: [{ role: 'user', content: 'text' }] },
     options: {
       task: 'default',
       priority: 5,
       deadlineAtMs: Date.now() + DEADLINE_MS,
       isIdempotent: true,
-      ...situation.options,
+      ...scenario.options,
     },
   } as unknown as ChatRequest;
-  const session = situation.session ?? { kind: 'new' };
-  const excluded = (situation.excluded ?? []).map((version) => asId<VersionId>(version));
-  return planChat(
-    { request, session, promptText: 'text', excluded },
-    createDependencies(situation),
-  );
+  const session = scenario.session ?? { kind: 'new' };
+  const excluded = (scenario.excluded ?? []).map((version) => asId<VersionId>(version));
+  return planChat({ request, session, promptText: 'text', excluded }, createDependencies(scenario));
 };
 
-const listVersions = (situation: Situation): readonly string[] =>
-  plan(situation).steps.map(({ version }) => version);
+const listVersions = (scenario: PlanScenario): readonly string[] =>
+  plan(scenario).steps.map(({ version }) => version);
 
 const toPinned = (version: string): SessionState => ({
   kind: 'pinned',
@@ -91,15 +88,14 @@
   },
 });
 
-/** No cascade and no exploration: the plan depends on nothing random. */
-const plain = { allowsExploration: false, allowsCascade: false };
+/** Without cascades and exploration the plan does not depend on random numbers. */
+const deterministic = { allowsExploration: false, allowsCascade: false };
 
-test('uses only what the team may use and nobody has stopped', () => {
-  // Symptom: a team's request runs on a version that it may not use, or on a withdrawn one.
-  // Sequence: the cheapest version is another team's; others are withdrawn, not served or were tried.
-  // Cause: one of the filters is left out where it would leave nothing else.
-  const team = { ...plain, qualityTarget: 0.5 };
-  const cases: readonly (readonly [Situation, readonly string[]])[] = [
+test('uses only versions that are allowed, served and not withdrawn', () => {
+  // The cheapest version belongs to another team, the others are withdrawn, not served or already
+  // tried. A request must not run on such a version just because a filter would leave no other.
+  const team = { ...deterministic, qualityTarget: 0.5 };
+  const cases: readonly (readonly [PlanScenario, readonly string[]])[] = [
     [{}, ['small@1']],
     [{ blocked: ['small@1'] }, ['small@2']],
     [{ unserved: ['small@1'], excluded: ['small@2'] }, ['large@1']],
@@ -116,18 +112,18 @@
   });
 });
 
-test('takes the cheapest version that meets the target', () => {
-  assert.equal(listVersions({ team: { ...plain, qualityTarget: 0.8 } }), ['small@2']);
-  assert.equal(listVersions({ team: { ...plain, qualityTarget: 0.92 } }), ['large@1']);
+test('chooses the cheapest version that meets the quality target', () => {
+  assert.equal(listVersions({ team: { ...deterministic, qualityTarget: 0.8 } }), ['small@2']);
+  assert.equal(listVersions({ team: { ...deterministic, qualityTarget: 0.92 } }), ['large@1']);
 });
 
-test('keeps a session on its version, or plans nothing', () => {
-  const team = { ...plain, qualityTarget: 0.9 };
+test('plans only the pinned version for a session, or nothing', () => {
+  const team = { ...deterministic, qualityTarget: 0.9 };
   assert.equal(listVersions({ team, session: toPinned('small@1') }), ['small@1']);
   assert.equal(listVersions({ session: toPinned('small@1'), unserved: ['small@1'] }), []);
 });
 
-test('hides what a roll-out hides, but not from a caller that names the version', () => {
+test('excludes versions hidden by a roll-out unless the caller names them', () => {
   const assignment: ModelAssignment = {
     version: asId<VersionId>('small@1'),
     hidden: [asId<VersionId>('small@2')],
@@ -136,15 +132,14 @@
     stableVersion: asId<VersionId>('small@1'),
     candidateVersion: asId<VersionId>('small@2'),
   };
-  const team = { ...plain, qualityTarget: 0.8 };
+  const team = { ...deterministic, qualityTarget: 0.8 };
   assert.not.ok(listVersions({ team, assignment, model: 'small' }).includes('small@2'));
   assert.equal(listVersions({ team, assignment, model: 'small@2' }), ['small@2']);
 });
 
-test('pairs a shadow with the stable version only where that answers first', () => {
-  // Symptom: a good candidate looks worse than the stable version, by a difference that is none.
-  // Sequence: another version answers, or a caller names one, and the candidate runs beside it.
-  // Cause: a pair that is not of the two versions on the same prompt.
+test('pairs a shadow with the stable version only if that answers first', () => {
+  // A good candidate looks worse than the stable version if the two are not compared on the same
+  // prompt: another version answers, or the caller names one, and the candidate runs beside it.
   const stableVersion = asId<VersionId>('small@1');
   const candidateVersion = asId<VersionId>('small@2');
   const assignment: ModelAssignment = {
@@ -156,30 +151,29 @@
     candidateVersion,
     shadowVersion: candidateVersion,
   };
-  const findPaired = (situation: Situation): string | undefined =>
-    plan({ ...situation, assignment }).pair?.candidateVersion;
-  const team = { ...plain, qualityTarget: 0.5 };
+  const findPaired = (scenario: PlanScenario): string | undefined =>
+    plan({ ...scenario, assignment }).pair?.candidateVersion;
+  const team = { ...deterministic, qualityTarget: 0.5 };
   assert.is(findPaired({ team }), candidateVersion);
-  assert.is(findPaired({ team: { ...plain, qualityTarget: 0.92 } }), undefined);
+  assert.is(findPaired({ team: { ...deterministic, qualityTarget: 0.92 } }), undefined);
   assert.is(findPaired({ team, model: 'small@1' }), undefined);
   assert.is(findPaired({ team, session: toPinned('small@1') }), undefined);
   assert.is(plan({ team }).pair, undefined);
 });
 
-test('plans one run only for requests that may run once', () => {
-  // Symptom: a request that may not be repeated runs on two versions.
-  // Sequence: its team allows cascades; a cheap version could answer first.
-  // Cause: a cascade is a second run.
+test('plans a single run for requests that may run only once', () => {
+  // The team allows cascades, but a cascade is a second run, which a request that must not be
+  // repeated does not permit.
   const options = { isIdempotent: false };
   assert.is(listVersions({ options }).length, 1);
   assert.is(listVersions({ options: { callerSession: 's' } }).length, 1);
 });
 
-test('matches a model by its whole name', () => {
+test('matches a model by its full name', () => {
   const version = asId<VersionId>('small@1');
-  const wishes = ['auto', 'small', 'small@1', 'smal', 'small@', 'small@11', ''];
+  const requestedModels = ['auto', 'small', 'small@1', 'smal', 'small@', 'small@11', ''];
   assert.equal(
-    wishes.filter((wish) => matchesWish(wish, version)),
+    requestedModels.filter((model) => matchesRequestedModel(model, version)),
     ['auto', 'small', 'small@1'],
   );
 });
--- a/packages/routing/src/planChat.ts
+++ b/packages/routing/src/planChat.ts
@@ -1,4 +1,4 @@
-/** Chooses the versions that answer a chat request, in order. */
+/** Chooses the versions that answer a chat request, in the order in which they are tried. */
 import { asId, getModelOfVersion, type VersionId } from '@snipehaven/common';
 import {
   defaultChoiceSettings,
@@ -21,42 +21,49 @@
   readonly request: ChatRequest;
   readonly session: SessionState;
   readonly promptText: string;
-  /** Versions that were found to have no upstream with room. */
+  /** Versions that were found to have no upstream with capacity. */
   readonly excluded: readonly VersionId[];
 }
 
-/** The plan of a chat request. */
 export interface ChatPlan {
   readonly steps: readonly PlanStep[];
   readonly reason: RequestPlan['reason'] | 'rollout';
   readonly expectedCostMicroUsd: number;
   readonly shouldRateAfterRelease: boolean;
-  /** A version to ask in the shadow of the request. */
+  /** A version that answers as a shadow of the request. */
   readonly shadowVersion?: VersionId;
-  /** A roll-out's candidate to ask in the shadow of the stable version's answer. */
+  /**
+   * A roll-out's candidate that answers as a shadow, for comparison with the stable version's
+   * answer.
+   */
   readonly pair?: PlannedPair;
 }
 
-/** Versions whose answers to the request are rated as a pair. */
+/** Versions whose answers to one request are rated as a pair. */
 export interface PlannedPair {
   readonly stableVersion: VersionId;
   readonly candidateVersion: VersionId;
 }
 
-/** A caller that names `model@version` has chosen itself: roll-outs of the model do not apply. */
-const VERSION_MARK = '@';
+/** Roll-outs do not apply to a caller that names `model@version`. */
+const VERSION_SEPARATOR = '@';
 
 type VersionResource = Resource<'ModelVersion'>;
 
 const getVersion = (resource: VersionResource): VersionId =>
   asId<VersionId>(resource.metadata.name);
 
-/** Whether the `model` of a body asks for the version. */
-export const matchesWish = (wished: string, version: VersionId): boolean =>
-  wished === AUTO_MODEL || wished === version || wished === getModelOfVersion(version);
+/** Whether the `model` field of a body selects the version. */
+export const matchesRequestedModel = (requestedModel: string, version: VersionId): boolean =>
+  requestedModel === AUTO_MODEL ||
+  requestedModel === version ||
+  requestedModel === getModelOfVersion(version);
 
 /** The team's settings for the task of the request. */
-export const getTeamChoice = (request: ChatRequest, isSingleRun: boolean): TeamChoiceSettings => {
+export const getChoiceSettings = (
+  request: ChatRequest,
+  isSingleRun: boolean,
+): TeamChoiceSettings => {
   const { spec } = request.identity.team;
   const task = spec.tasks[request.options.task];
   return {
@@ -68,7 +75,7 @@
   };
 };
 
-/** A request that may run once only, or whose session is pinned before it runs, has no cascade. */
+/** No cascade for a request that may run only once, or whose session is pinned before it runs. */
 const isSingleRun = ({ options }: ChatRequest): boolean =>
   !options.isIdempotent || options.callerSession !== undefined;
 
@@ -80,7 +87,7 @@
   return listAllowedVersions(deps.configuration.getView(), team).filter((resource) => {
     const version = getVersion(resource);
     return (
-      matchesWish(input.request.body.model, version) &&
+      matchesRequestedModel(input.request.body.model, version) &&
       !deps.safeMoves.isVersionBlocked(version) &&
       !input.excluded.includes(version) &&
       deps.registry.hasVersion(version)
@@ -94,8 +101,8 @@
   usable: readonly VersionResource[],
   deps: RoutingDependencies,
 ): readonly ModelAssignment[] => {
-  const isExactWish = input.request.body.model.includes(VERSION_MARK);
-  if (input.session.kind === 'pinned' || isExactWish) {
+  const namesVersion = input.request.body.model.includes(VERSION_SEPARATOR);
+  if (input.session.kind === 'pinned' || namesVersion) {
     return [];
   }
   const models = new Set(usable.map((resource) => getModelOfVersion(getVersion(resource))));
@@ -149,7 +156,10 @@
   return usable.filter((resource) => !hidden.has(getVersion(resource)));
 };
 
-/** A candidate under a gate answers first and is rated; below the score the stable version answers. */
+/**
+ * A gated candidate answers first and is rated; if its score is too low, the stable version
+ * answers.
+ */
 const toGatedSteps = (assignment: ModelAssignment): readonly PlanStep[] => [
   {
     version: assignment.candidateVersion,
@@ -158,7 +168,9 @@
   { version: assignment.stableVersion },
 ];
 
-/** Only where the stable version is asked first: whether it is depends on no answer's score. */
+/**
+ * Pairs only if the stable version is asked first, since that does not depend on an answer's score.
+ */
 const findPair = (
   plan: RequestPlan,
   assignments: readonly ModelAssignment[],
@@ -186,10 +198,10 @@
   return gated ? { ...rated, reason: 'rollout', steps: toGatedSteps(gated) } : rated;
 };
 
-/** Plans a request; no steps where nothing that the team may use can answer. */
+/** Plans a request; the plan has no steps if no version that the team may use can answer. */
 export const planChat = (input: PlanChatInput, deps: RoutingDependencies): ChatPlan => {
   const { request } = input;
-  const choice = getTeamChoice(request, isSingleRun(request));
+  const choice = getChoiceSettings(request, isSingleRun(request));
   const usable = listUsable(input, deps);
   const assignments = assignModels(input, choice, usable, deps);
   const candidates = listCandidates(input, usable, assignments);
--- a/packages/routing/src/refusal.ts
+++ b/packages/routing/src/refusal.ts
@@ -1,9 +1,9 @@
-/** Errors of the request path: final answers that are no answer. */
+/** Refusals: the error responses of the request path. */
 import { SnipehavenError } from '@snipehaven/common';
 import { DEFAULT_RETRY_AFTER_MS, HTTP } from './constants.js';
 import type { RunTracker, RunVerdict } from './runTracker.js';
 
-/** Why a request gets no answer; each has its status and OpenAI's name for the type of error. */
+/** The HTTP status and OpenAI error type of each kind of refusal. */
 const refusalKinds = {
   invalidRequest: { status: HTTP.badRequest, type: 'invalid_request_error', isRetryable: false },
   unauthorized: { status: HTTP.unauthorized, type: 'authentication_error', isRetryable: false },
@@ -39,12 +39,15 @@
 export type RefusalKind = keyof typeof refusalKinds;
 
 /**
- * Refusals that stand for an earlier request of the same idempotency key: this one did not run, but the
- * earlier one may have, and the caller must not take the matter for not done.
+ * Refusals that report on an earlier request with the same idempotency key. This request did not
+ * run but the earlier one may have, so the caller must not conclude that the work was not done.
  */
-const kindsAboutAnother: ReadonlySet<RefusalKind> = new Set(['inProgress', 'outcomeUnknown']);
+const kindsAboutEarlierRequest: ReadonlySet<RefusalKind> = new Set([
+  'inProgress',
+  'outcomeUnknown',
+]);
 
-/** The final answer to a request that got no whole answer. */
+/** The final response to a request that got no complete answer. */
 export class Refusal extends SnipehavenError {
   readonly code: RefusalKind;
 
@@ -55,7 +58,7 @@
 
   readonly verdict: RunVerdict;
 
-  /** When to come back; undefined where coming back does not help. */
+  /** When to retry; undefined if a retry cannot succeed. */
   readonly retryAfterMs: number | undefined;
 
   constructor(
@@ -69,7 +72,7 @@
     this.code = kind;
     this.status = status;
     this.type = type;
-    this.verdict = kindsAboutAnother.has(kind) ? 'unknown' : tracker.getVerdict();
+    this.verdict = kindsAboutEarlierRequest.has(kind) ? 'unknown' : tracker.getVerdict();
     this.retryAfterMs = isRetryable ? (options.retryAfterMs ?? DEFAULT_RETRY_AFTER_MS) : undefined;
   }
 }
--- a/packages/routing/src/refusals.test.ts
+++ b/packages/routing/src/refusals.test.ts
@@ -3,7 +3,7 @@
 import { UpstreamNotStartedError } from '@snipehaven/upstream';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { AdmissionGate } from './admissionGate.js';
+import { AdmissionGate } from './admissionController.js';
 import { Refusal } from './refusal.js';
 import { RequestSignal } from './requestSignal.js';
 import { RunTracker } from './runTracker.js';
@@ -26,24 +26,24 @@
 const refused = new UpstreamNotStartedError('refused');
 
 test('derives the verdict from the dispatches alone', () => {
-  // Symptom: a refusal says "not run" of a request that ran.
-  // Sequence: one dispatch is refused, another one is lost or was seen running.
-  // Cause: the last dispatch decides, or a late proof takes back what was seen.
+  // One dispatch is refused while another is lost or was seen running. The verdict of a request
+  // that ran would become `notRun` if the last dispatch alone decided, or if a late refusal
+  // overrode an observed run.
   const tracker = new RunTracker();
   assert.is(tracker.getVerdict(), 'notRun');
   const first = tracker.startDispatch();
   assert.is(tracker.getVerdict(), 'unknown');
-  first.proveNotRun(refused);
+  first.markNotRun(refused);
   assert.is(tracker.getVerdict(), 'notRun');
   const second = tracker.startDispatch();
-  tracker.startDispatch().proveNotRun(refused);
-  assert.is(tracker.getVerdict(), 'unknown', 'one is lost');
-  second.noteRunning();
-  second.proveNotRun(refused);
-  assert.is(tracker.getVerdict(), 'ran', 'what was seen stays');
+  tracker.startDispatch().markNotRun(refused);
+  assert.is(tracker.getVerdict(), 'unknown', 'one dispatch is lost');
+  second.markRunning();
+  second.markNotRun(refused);
+  assert.is(tracker.getVerdict(), 'ran', 'an observed run is not overridden');
 });
 
-test('says of an earlier request of the same key that it may have run', () => {
+test('reports that an earlier request with the same key may have run', () => {
   const tracker = new RunTracker();
   assert.is(new Refusal('inProgress', '', tracker).verdict, 'unknown');
   assert.is(new Refusal('outcomeUnknown', '', tracker).verdict, 'unknown');
@@ -62,7 +62,7 @@
   deadlineAtMs: Date.now() + DEADLINE_MS,
 });
 
-test('lets in, queues, and refuses at once with a time to come back', async () => {
+test('admits, queues, and refuses at once with a retry delay', async () => {
   const gate = new AdmissionGate(() => ({ maxRunning: 1, maxQueued: 1 }), createRandom(1));
   const { signal } = new AbortController();
   const first = await gate.admit(toAdmission('a'), signal);
@@ -81,14 +81,14 @@
     first.release();
   }
   assert.is((await next).kind, 'admitted');
-  assert.equal([gate.running, gate.queued], [1, 0], 'a place is given back once');
+  assert.equal([gate.running, gate.queued], [1, 0], 'a slot is released only once');
   const late = gate.admit(toAdmission('e'), signal);
   await clock.tickAsync(DEADLINE_MS + 1);
   assert.is((await late).kind, 'refused');
   assert.equal([gate.running, gate.queued], [1, 0]);
 });
 
-test('tells a deadline from a caller that has gone, and forgets neither', () => {
+test('distinguishes a deadline from a disconnect and keeps the first reason', () => {
   const caller = new AbortController();
   const timed = new RequestSignal(Date.now() + DEADLINE_MS, caller.signal);
   const detached = new RequestSignal(Date.now() + DEADLINE_MS, caller.signal);
--- a/packages/routing/src/claimGuard.ts
+++ b/packages/routing/src/requestClaims.ts
@@ -1,11 +1,11 @@
-/** Takes the claim of a non-idempotent request, or says why it may not run. */
+/** Acquires the claim of a non-idempotent request, or explains why the request may not run. */
 import type { Claim, ClaimOutcome, ClaimRequest, StoredAnswer } from '@snipehaven/claims';
 import { getErrorMessage } from '@snipehaven/common';
 import type { RoutingDependencies } from './dependencies.js';
 import { Refusal } from './refusal.js';
 import type { RunTracker } from './runTracker.js';
 
-/** The claim to run under, or the answer of the run that was. */
+/** The claim to run under, or the answer stored by a run that has finished. */
 export type ClaimResult =
   | { readonly kind: 'claimed'; readonly claim: Claim }
   | { readonly kind: 'finished'; readonly answer: StoredAnswer };
@@ -13,9 +13,10 @@
 const KEY_DIGEST_CHARS = 16;
 
 /**
- * What the bills of a request and of its retries share. An idempotency key alone would let a caller send
- * any number of different requests under one key and pay for one; a non-idempotent request with another
- * body is refused by its claim, an idempotent one is another request.
+ * The billing key shared by a request and its retries. With the idempotency key alone, a caller
+ * could send any number of different requests under one key and pay for one. A non-idempotent
+ * request with a different body is refused by its claim; an idempotent one counts as another
+ * request.
  */
 export const getBillingKey = (
   requestId: string,
@@ -26,11 +27,11 @@
     ? requestId
     : `${idempotencyKey}#${hashBody().slice(0, KEY_DIGEST_CHARS)}`;
 
-type Obstacle = Exclude<ClaimOutcome, ClaimResult>;
+type ClaimConflict = Exclude<ClaimOutcome, ClaimResult>;
 
-const obstacleRefusals: {
-  readonly [Name in Obstacle['kind']]: (
-    outcome: Extract<Obstacle, { kind: Name }>,
+const conflictRefusals: {
+  readonly [Name in ClaimConflict['kind']]: (
+    outcome: Extract<ClaimConflict, { kind: Name }>,
     tracker: RunTracker,
   ) => Refusal;
 } = {
@@ -39,24 +40,31 @@
       retryAfterMs,
     }),
   outcomeUnknown: (_outcome, tracker) =>
-    new Refusal('outcomeUnknown', 'nobody can tell whether the first request ran', tracker),
+    new Refusal(
+      'outcomeUnknown',
+      'it is unknown whether the first request with this idempotency key ran',
+      tracker,
+    ),
   differentBody: (_outcome, tracker) =>
-    new Refusal('differentBody', 'the idempotency key was used with another body', tracker),
+    new Refusal('differentBody', 'the idempotency key was used with a different body', tracker),
 };
 
-const toRefusal = (outcome: Obstacle, tracker: RunTracker): Refusal => {
-  const create = obstacleRefusals[outcome.kind] as (value: Obstacle, t: RunTracker) => Refusal;
+const toRefusal = (outcome: ClaimConflict, tracker: RunTracker): Refusal => {
+  const create = conflictRefusals[outcome.kind] as (value: ClaimConflict, t: RunTracker) => Refusal;
   return create(outcome, tracker);
 };
 
-/** Claims before anything is dispatched; throws a refusal, which is truly "not run" by this request. */
-export const takeClaim = async (
+/**
+ * Acquires the claim before anything is dispatched, so a refusal thrown here is always `notRun` for
+ * this request.
+ */
+export const acquireClaim = async (
   deps: Pick<RoutingDependencies, 'claims' | 'timeline'>,
   tracker: RunTracker,
   request: ClaimRequest,
 ): Promise<ClaimResult> => {
   const outcome = await deps.claims.claim(request).catch((error: unknown) => {
-    const message = `the claim could not be taken: ${getErrorMessage(error)}`;
+    const message = `the claim could not be acquired: ${getErrorMessage(error)}`;
     throw new Refusal('platformAway', message, tracker, { cause: error });
   });
   if (outcome.kind === 'claimed' || outcome.kind === 'finished') {
@@ -66,15 +74,15 @@
 };
 
 /**
- * Keeps the answer for the caller's retries, in the background: while the table is away it waits in
- * memory, and neither the caller nor the request's place in the queue waits with it.
+ * Stores the answer for retries, in the background: while the table is down it waits in memory, and
+ * neither the caller nor the request's queue slot waits with it.
  */
-export const keepAnswer = (
+export const storeAnswer = (
   deps: Pick<RoutingDependencies, 'claims' | 'logger'>,
   claim: Claim,
   answer: StoredAnswer,
 ): void => {
   deps.claims.finish(claim, answer).catch((error: unknown) => {
-    deps.logger.warn({ error: getErrorMessage(error) }, 'an answer was not kept for retries');
+    deps.logger.warn({ error: getErrorMessage(error) }, 'answer not stored for retries');
   });
 };
--- a/packages/routing/src/requestSignal.ts
+++ b/packages/routing/src/requestSignal.ts
@@ -1,10 +1,10 @@
-/** When the work on a request ends early: at its deadline, or when its caller has gone. */
+/** Aborts the work on a request at its deadline or when its caller disconnects. */
 
-export type StopReason = 'deadline' | 'callerGone';
+export type AbortReason = 'deadline' | 'callerGone';
 
 /**
- * One abort signal for a request. It runs on the runtime's `setTimeout`, which tests replace, unlike
- * `AbortSignal.timeout`.
+ * The abort signal of a request. It uses the global `setTimeout`, which tests can replace, unlike
+ * the timer of `AbortSignal.timeout`.
  */
 export class RequestSignal {
   readonly #controller = new AbortController();
@@ -13,17 +13,17 @@
 
   readonly #callerGone: AbortSignal;
 
-  readonly #onGone = (): void => this.#stop('callerGone');
+  readonly #onCallerGone = (): void => this.#abort('callerGone');
 
-  #reason: StopReason | undefined;
+  #reason: AbortReason | undefined;
 
   constructor(deadlineAtMs: number, callerGone: AbortSignal) {
     this.#callerGone = callerGone;
-    this.#timer = setTimeout(() => this.#stop('deadline'), Math.max(0, deadlineAtMs - Date.now()));
+    this.#timer = setTimeout(() => this.#abort('deadline'), Math.max(0, deadlineAtMs - Date.now()));
     if (callerGone.aborted) {
-      this.#stop('callerGone');
+      this.#abort('callerGone');
     } else {
-      callerGone.addEventListener('abort', this.#onGone, { once: true });
+      callerGone.addEventListener('abort', this.#onCallerGone, { once: true });
     }
   }
 
@@ -31,13 +31,13 @@
     return this.#controller.signal;
   }
 
-  get reason(): StopReason | undefined {
+  get reason(): AbortReason | undefined {
     return this.#reason;
   }
 
-  /** From now on the caller's going away no longer ends the work. */
+  /** Stops a disconnect of the caller from aborting the work. */
   detachCaller(): void {
-    this.#callerGone.removeEventListener('abort', this.#onGone);
+    this.#callerGone.removeEventListener('abort', this.#onCallerGone);
   }
 
   dispose(): void {
@@ -45,7 +45,7 @@
     this.detachCaller();
   }
 
-  #stop(reason: StopReason): void {
+  #abort(reason: AbortReason): void {
     this.#reason ??= reason;
     this.#controller.abort();
   }
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -1,12 +1,12 @@
-/** The request path of one daemon: takes checked requests, answers each exactly once. */
+/** The request path of one daemon: accepts validated requests and answers each exactly once. */
 import { createRetryBudget } from '@snipehaven/policy';
 import type { ConfigurationView } from '@snipehaven/resources';
-import { ChatRun } from './chatRun.js';
+import { ChatExecution } from './chatExecution.js';
 import type { RoutingDependencies } from './dependencies.js';
-import { isLeavingByOperator } from './isLeavingByOperator.js';
-import { ServiceRun } from './serviceRun.js';
+import { isDrainedByOperator } from './isDrainedByOperator.js';
+import { ServiceExecution } from './serviceExecution.js';
 import { ShadowRunner } from './shadowRunner.js';
-import { RetryAllowance } from './stepRunner.js';
+import { SharedRetryBudget } from './stepRunner.js';
 import { TeamDirectory } from './teamDirectory.js';
 import type { AnswerSink, CallerIdentity, ChatRequest, ServiceRequest } from './types.js';
 
@@ -15,13 +15,13 @@
 
   readonly #teams = new TeamDirectory();
 
-  readonly #retries = new RetryAllowance(createRetryBudget());
+  readonly #retries = new SharedRetryBudget(createRetryBudget());
 
   readonly #shadows: ShadowRunner;
 
   readonly #idleWaiters = new Set<() => void>();
 
-  #counter = 0;
+  #requestCount = 0;
 
   #active = 0;
 
@@ -33,37 +33,39 @@
     deps.safeMoves.onChange(() => this.#applyDrains());
   }
 
-  /** Requests that run or wait. */
+  /** The number of requests that run or are queued. */
   get active(): number {
     return this.#active;
   }
 
-  /** Takes in a configuration. */
+  /** Applies a new configuration. */
   update(view: ConfigurationView): void {
     this.#teams.update(view);
     this.#deps.registry.update(view);
     this.#applyDrains();
   }
 
-  /** The team of a caller's key. */
+  /** Returns the team that a caller's key belongs to. */
   findCaller(key: string): CallerIdentity | undefined {
     return this.#teams.find(key);
   }
 
-  /** A request id unique for all time. */
+  /** Creates a globally unique request id; the incarnation makes it unique across restarts. */
   createRequestId(): string {
-    this.#counter += 1;
-    return `${this.#deps.incarnation}-${this.#counter.toString(36)}`;
+    this.#requestCount += 1;
+    return `${this.#deps.incarnation}-${this.#requestCount.toString(36)}`;
   }
 
   async executeChat(request: ChatRequest, sink: AnswerSink): Promise<void> {
     await this.#track(() =>
-      new ChatRun(this.#deps, request, sink, this.#retries, this.#shadows).execute(),
+      new ChatExecution(this.#deps, request, sink, this.#retries, this.#shadows).execute(),
     );
   }
 
   async executeService(request: ServiceRequest, sink: AnswerSink): Promise<void> {
-    await this.#track(() => new ServiceRun(this.#deps, request, sink, this.#retries).execute());
+    await this.#track(() =>
+      new ServiceExecution(this.#deps, request, sink, this.#retries).execute(),
+    );
   }
 
   /** Resolves when no request is in progress. */
@@ -76,17 +78,17 @@
     });
   }
 
-  /** Upstreams that operators drain, or whose data centre they evacuate, get no new work. */
+  /** Stops new work for upstreams that operators drain or whose data centre they evacuate. */
   #applyDrains(): void {
     const { registry, safeMoves } = this.#deps;
     registry.list().forEach((upstream) => {
-      registry.noteLeaving(upstream.id, 'operator', isLeavingByOperator(safeMoves, upstream));
+      registry.setLeaving(upstream.id, 'operator', isDrainedByOperator(safeMoves, upstream));
     });
   }
 
   async #track(execute: () => Promise<void>): Promise<void> {
     this.#active += 1;
-    this.#retries.feed();
+    this.#retries.deposit();
     try {
       await execute();
     } finally {
--- a/packages/routing/src/runTracker.ts
+++ b/packages/routing/src/runTracker.ts
@@ -1,7 +1,7 @@
-/** What is known of whether a request ran. */
+/** Tracks whether a request may have run at an upstream. */
 import type { UpstreamNotStartedError } from '@snipehaven/upstream';
 
-/** `notRun` is a proved fact, `ran` an observed one; `unknown` is everything else. */
+/** `notRun` is proved, `ran` was observed; `unknown` covers everything else. */
 export type RunVerdict = 'notRun' | 'unknown' | 'ran';
 
 type DispatchState = 'sent' | 'provedNotRun' | 'seenRunning';
@@ -14,28 +14,27 @@
     return this.#state;
   }
 
-  /** The upstream's own refusal proves that nothing ran; nothing else can be passed in here. */
-  proveNotRun(_evidence: UpstreamNotStartedError): void {
+  /** Only an upstream's own refusal proves that nothing ran, hence the type of the parameter. */
+  markNotRun(_evidence: UpstreamNotStartedError): void {
     this.#state = this.#state === 'seenRunning' ? this.#state : 'provedNotRun';
   }
 
-  /** Part of an answer came. */
-  noteRunning(): void {
+  /** Records that part of an answer was received. */
+  markRunning(): void {
     this.#state = 'seenRunning';
   }
 }
 
 /**
- * Follows every dispatch of one request.
- *
- * What goes wrong: a refusal says "not run" because some branch of the code believed so, and the caller
- * files a record a second time. The verdict here is derived from the dispatches alone, so `notRun` can
- * only come out where nothing was sent or each upstream proved that it did not start.
+ * Tracks every dispatch of one request. If a refusal says `notRun` only because some code path
+ * assumed so, the caller may file a record twice. The verdict is therefore derived from the
+ * dispatches alone: `notRun` requires that nothing was sent, or that each upstream proved that it
+ * did not start.
  */
 export class RunTracker {
   readonly #dispatches: Dispatch[] = [];
 
-  /** Call before the first byte goes out. */
+  /** Must be called before the first byte is sent. */
   startDispatch(): Dispatch {
     const dispatch = new Dispatch();
     this.#dispatches.push(dispatch);
--- a/packages/routing/src/serviceRun.ts
+++ b/packages/routing/src/serviceExecution.ts
@@ -1,4 +1,4 @@
-/** One call of a plain service, from admission to its answer. */
+/** Executes one call of a service that is not a model, from admission to its answer. */
 import { isPromiseKept, type UpstreamId } from '@snipehaven/common';
 import type { Claim, StoredAnswer } from '@snipehaven/claims';
 import { decideRetry } from '@snipehaven/policy';
@@ -11,15 +11,15 @@
   type ServiceAnswer,
 } from '@snipehaven/upstream';
 import { admit, type Admission } from './admission.js';
-import { getBillingKey, keepAnswer, takeClaim } from './claimGuard.js';
-import { closeRefused } from './closeRefused.js';
+import { getBillingKey, storeAnswer, acquireClaim } from './requestClaims.js';
+import { finalizeRefused } from './finalizeRefused.js';
 import { LEAVING_GRACE_MS, REPLAYED_HEADER, REQUEST_ID_HEADER } from './constants.js';
 import type { RoutingDependencies } from './dependencies.js';
 import { hashRequest } from './hashRequest.js';
 import { Refusal } from './refusal.js';
 import { RequestSignal } from './requestSignal.js';
 import { RunTracker, type Dispatch } from './runTracker.js';
-import type { RetryAllowance } from './stepRunner.js';
+import type { SharedRetryBudget } from './stepRunner.js';
 import type { AnswerHeaders, AnswerSink, ServiceRequest } from './types.js';
 import type { UpstreamEntry } from './upstreamEntry.js';
 import { UsageAccount } from './usageAccount.js';
@@ -27,10 +27,10 @@
 type Operation = ServiceSpec['operations'][number];
 
 const EXPECTED_CALL_MS = 20;
-const TEXT_TYPES = /^(text\/|application\/json)/;
+const TEXT_CONTENT_TYPES = /^(text\/|application\/json)/;
 
 const toStoredAnswer = (answer: ServiceAnswer): StoredAnswer => {
-  const isText = TEXT_TYPES.test(answer.contentType);
+  const isText = TEXT_CONTENT_TYPES.test(answer.contentType);
   return {
     status: answer.status,
     contentType: answer.contentType,
@@ -39,14 +39,14 @@
   };
 };
 
-export class ServiceRun {
+export class ServiceExecution {
   readonly #deps: RoutingDependencies;
 
   readonly #request: ServiceRequest;
 
   readonly #sink: AnswerSink;
 
-  readonly #retries: RetryAllowance;
+  readonly #retries: SharedRetryBudget;
 
   readonly #tracker = new RunTracker();
 
@@ -64,7 +64,7 @@
     deps: RoutingDependencies,
     request: ServiceRequest,
     sink: AnswerSink,
-    retries: RetryAllowance,
+    retries: SharedRetryBudget,
   ) {
     this.#deps = deps;
     this.#request = request;
@@ -89,7 +89,7 @@
       const service = this.#getService();
       const operation = this.#getOperation(service);
       const isIdempotent = operation.isIdempotent && this.#request.options.isIdempotent;
-      if (!isIdempotent && (await this.#replayClaimed())) {
+      if (!isIdempotent && (await this.#claimOrReplay())) {
         return;
       }
       admission = await this.#admit(service);
@@ -130,14 +130,18 @@
       (entry) => entry.method === method && path.startsWith(entry.pathPrefix),
     );
     if (operation === undefined) {
-      throw new Refusal('unknownPath', `${method} ${path} is no operation`, this.#tracker);
+      throw new Refusal(
+        'unknownPath',
+        `${method} ${path} is not an operation of the service`,
+        this.#tracker,
+      );
     }
     return operation;
   }
 
-  async #replayClaimed(): Promise<boolean> {
+  async #claimOrReplay(): Promise<boolean> {
     const { identity, options } = this.#request;
-    const outcome = await takeClaim(this.#deps, this.#tracker, {
+    const outcome = await acquireClaim(this.#deps, this.#tracker, {
       teamUid: identity.team.metadata.uid,
       key: this.#key,
       bodyHash: this.#hashBody(),
@@ -170,18 +174,18 @@
       const entry = await this.#choose(service, excludedIds);
       excludedIds.push(entry.id);
       const stream = this.#createStream(service, entry);
-      await this.#account.noteRun(stream);
+      await this.#account.recordRun(stream);
       const dispatch = this.#tracker.startDispatch();
-      entry.noteSent(Date.now());
+      entry.recordSent(Date.now());
       try {
         const answer = await this.#call(service, entry);
-        dispatch.noteRunning();
-        await this.#release(answer, stream, service, entry);
+        dispatch.markRunning();
+        await this.#complete(answer, stream, service, entry);
         return;
       } catch (error) {
-        this.#decideAfter(error, dispatch, entry, service, isIdempotent, excludedIds);
+        this.#retryOrThrow(error, dispatch, entry, service, isIdempotent, excludedIds);
       } finally {
-        entry.noteEnded();
+        entry.recordEnded();
       }
     }
   }
@@ -193,12 +197,12 @@
     const { name } = service.metadata;
     const chosen = await this.#deps.registry.chooseFresh({ service: name, excludedIds });
     if (chosen === undefined) {
-      throw new Refusal('noUpstream', `no upstream of ${name} has room`, this.#tracker);
+      throw new Refusal('noUpstream', `no upstream of ${name} has capacity`, this.#tracker);
     }
     const sinceMs = chosen.entry.leavingSinceMs;
-    const isInTime = sinceMs === undefined || Date.now() - sinceMs <= LEAVING_GRACE_MS;
-    const detail = `${chosen.entry.id} is leaving since ${sinceMs}`;
-    if (!isPromiseKept(isInTime, 'leavingGetsNoWork', detail)) {
+    const isWithinGrace = sinceMs === undefined || Date.now() - sinceMs <= LEAVING_GRACE_MS;
+    const detail = `${chosen.entry.id} has been leaving since ${sinceMs}`;
+    if (!isPromiseKept(isWithinGrace, 'leavingGetsNoWork', detail)) {
       throw new Refusal('noUpstream', detail, this.#tracker);
     }
     return chosen.entry;
@@ -234,8 +238,8 @@
     );
   }
 
-  /** One "token" stands for one call, priced by the service. */
-  async #release(
+  /** A call is billed as one completion token at the service's price per call. */
+  async #complete(
     answer: ServiceAnswer,
     stream: UsageStream,
     service: Resource<'Service'>,
@@ -243,7 +247,7 @@
   ): Promise<void> {
     this.#deps.registry.recordOutcome(entry, 'succeeded');
     this.#account.addLine(stream, { promptTokens: 0, completionTokens: 1 });
-    await this.#account.ensureHeld();
+    await this.#account.ensureReplicated();
     await this.#account.settle('answered');
     this.#sink.send(answer.status, answer.contentType, answer.body, this.#getHeaders());
     const { requestId } = this.#request;
@@ -259,11 +263,11 @@
       costMicroUsd: this.#account.costMicroUsd,
     });
     if (this.#claim !== undefined) {
-      keepAnswer(this.#deps, this.#claim, toStoredAnswer(answer));
+      storeAnswer(this.#deps, this.#claim, toStoredAnswer(answer));
     }
   }
 
-  #decideAfter(
+  #retryOrThrow(
     error: unknown,
     dispatch: Dispatch,
     entry: UpstreamEntry,
@@ -272,10 +276,10 @@
     excludedIds: readonly UpstreamId[],
   ): void {
     if (error instanceof UpstreamNotStartedError) {
-      dispatch.proveNotRun(error);
+      dispatch.markNotRun(error);
     }
-    this.#noteFailure(error, entry);
-    this.#throwIfStopped(error);
+    this.#recordFailure(error, entry);
+    this.#throwIfFinal(error);
     const other = this.#deps.registry.choose({ service: service.metadata.name, excludedIds });
     const decision = decideRetry(
       {
@@ -300,7 +304,7 @@
     }
   }
 
-  #noteFailure(error: unknown, entry: UpstreamEntry): void {
+  #recordFailure(error: unknown, entry: UpstreamEntry): void {
     const { requestId } = this.#request;
     const detail = { error: error instanceof Error ? error.message : String(error) };
     this.#deps.timeline.record('attemptFailed', { requestId, upstream: entry.id }, detail);
@@ -313,10 +317,12 @@
     this.#deps.registry.recordOutcome(entry, isRefused ? 'refused' : failed);
   }
 
-  #throwIfStopped(error: unknown): void {
+  #throwIfFinal(error: unknown): void {
     const { reason } = this.#signal;
     if (reason === 'callerGone') {
-      throw new Refusal('callerGone', 'the caller has gone', this.#tracker, { cause: error });
+      throw new Refusal('callerGone', 'the caller has disconnected', this.#tracker, {
+        cause: error,
+      });
     }
     if (reason === 'deadline') {
       const message = 'the deadline has passed';
@@ -324,7 +330,7 @@
     }
     const isFinal = error instanceof UpstreamFailedError && error.status === 409;
     if (isFinal) {
-      const message = 'the service refused the request key or its fencing number';
+      const message = 'the service refused the request key or its fencing token';
       throw new Refusal('outcomeUnknown', message, this.#tracker, { cause: error });
     }
   }
@@ -347,7 +353,7 @@
     this.#deps.timeline.record('requestRefused', { requestId, team }, detail);
     this.#deps.metrics.recordRefusal(team, refusal.code);
     this.#sink.refuse(refusal, this.#getHeaders());
-    closeRefused(this.#deps, {
+    finalizeRefused(this.#deps, {
       refusal,
       tracker: this.#tracker,
       account: this.#account,
--- a/packages/routing/src/sessionResolver.ts
+++ b/packages/routing/src/sessionResolver.ts
@@ -1,4 +1,4 @@
-/** Finds the session that a request belongs to, and whether its version still holds. */
+/** Finds the session of a request and checks whether its pinned version is still usable. */
 import type { SafeMoves } from '@snipehaven/configuration';
 import {
   decideSessionVersion,
@@ -10,12 +10,11 @@
 import { isVersionAllowed } from './teamDirectory.js';
 import type { ChatRequest } from './types.js';
 
-/** The session of a request. */
 export type SessionState =
-  /** The first request of a session, or none at all. */
+  /** The first request of a session, or a request without a session. */
   | { readonly kind: 'new' }
   | { readonly kind: 'pinned'; readonly pin: Pin }
-  /** The pinned version may not be used any more: the session moves once. */
+  /** The pinned version may no longer be used, so the session moves to another version. */
   | { readonly kind: 'moving'; readonly pin: Pin; readonly reason: SessionMoveReason };
 
 export interface SessionResolverOptions {
--- a/packages/routing/src/shadowRunner.ts
+++ b/packages/routing/src/shadowRunner.ts
@@ -1,4 +1,7 @@
-/** Asks a version beside the one that answers: its answer is rated, never released and never billed. */
+/**
+ * Sends a request to a further version in the background; its answer is rated, but never returned
+ * to the caller or billed.
+ */
 import { asId, type UpstreamId, type VersionId } from '@snipehaven/common';
 import type { EvidenceSubject, PairedAnswer } from '@snipehaven/rollouts';
 import { AnswerAssembler } from './answerAssembler.js';
@@ -10,19 +13,18 @@
 import type { ChatRequest } from './types.js';
 import type { UpstreamEntry } from './upstreamEntry.js';
 
-/** What to ask in the shadow of which request. */
 export interface ShadowRequest {
   readonly request: ChatRequest;
   readonly version: VersionId;
   readonly promptText: string;
-  /** The kinds of evidence that the answer's rating counts for. */
+  /** The evidence subjects that the rating of the answer counts for. */
   readonly subjects: readonly EvidenceSubject[];
-  /** The stable version's answer, where both are rated as a pair. */
+  /** The stable version's answer, if both answers are rated as a pair. */
   readonly stable?: PairedAnswer;
 }
 
-/** Shadows that one daemon runs at a time; more are left out, for callers come first. */
-const MAX_SHADOWS = 8;
+/** Shadows beyond this number are skipped, since callers have precedence. */
+const MAX_CONCURRENT_SHADOWS = 8;
 const LOWEST_PRIORITY = 0;
 const SHADOW_DEADLINE_MS = 60_000;
 
@@ -35,26 +37,26 @@
     this.#deps = deps;
   }
 
-  /** Starts a shadow in the background, if there is room for it. */
+  /** Starts a shadow in the background if the limit and an upstream's capacity allow it. */
   start(shadow: ShadowRequest): void {
-    const entry = this.#findRoom(shadow.version);
+    const entry = this.#findUpstream(shadow.version);
     if (entry === undefined) {
       return;
     }
     this.#running += 1;
-    entry.noteSent(Date.now());
+    entry.recordSent(Date.now());
     this.#run(shadow, entry)
       .catch((error: unknown) => {
-        this.#deps.logger.debug({ err: error, version: shadow.version }, 'a shadow failed');
+        this.#deps.logger.debug({ err: error, version: shadow.version }, 'shadow request failed');
       })
       .finally(() => {
         this.#running -= 1;
-        entry.noteEnded();
+        entry.recordEnded();
       });
   }
 
-  #findRoom(version: VersionId): UpstreamEntry | undefined {
-    if (this.#running >= MAX_SHADOWS || this.#deps.safeMoves.isVersionBlocked(version)) {
+  #findUpstream(version: VersionId): UpstreamEntry | undefined {
+    if (this.#running >= MAX_CONCURRENT_SHADOWS || this.#deps.safeMoves.isVersionBlocked(version)) {
       return undefined;
     }
     return this.#deps.registry.choose({ version, excludedIds: [] })?.entry;
@@ -62,8 +64,8 @@
 
   async #run(shadow: ShadowRequest, entry: UpstreamEntry): Promise<void> {
     const assembler = new AnswerAssembler(true);
-    const nobody = new AbortController();
-    const signal = new RequestSignal(Date.now() + SHADOW_DEADLINE_MS, nobody.signal);
+    const neverAborted = new AbortController();
+    const signal = new RequestSignal(Date.now() + SHADOW_DEADLINE_MS, neverAborted.signal);
     try {
       for await (const events of this.#createAttempt(shadow, entry, signal).events()) {
         events.forEach((event) => assembler.add(event.data));
@@ -100,7 +102,10 @@
     });
   }
 
-  /** Only its quality counts: at the lowest priority it waits, and would look like a slow version. */
+  /**
+   * Submits the answer without its latency: shadows wait at the lowest priority, which would make
+   * the version look slow.
+   */
   #submit({ request, promptText, subjects, stable }: ShadowRequest, answer: string): void {
     const [subject] = subjects;
     if (stable !== undefined && subject !== undefined) {
--- a/packages/routing/src/stepRunner.ts
+++ b/packages/routing/src/stepRunner.ts
@@ -1,4 +1,4 @@
-/** Runs one step of a plan: attempts at upstreams of one version until there is a whole answer. */
+/** Runs one step of a plan: attempts at upstreams of one version until an answer is complete. */
 import {
   asId,
   isPromiseKept,
@@ -36,12 +36,14 @@
 import type { UpstreamEntry } from './upstreamEntry.js';
 import type { UsageAccount } from './usageAccount.js';
 
-/** Takes the events of a whole or growing answer. */
+/** Consumes the events of a complete or growing answer. */
 export interface EventConsumer {
-  /** Called with each batch, in order; the next batch waits for the promise. */
+  /**
+   * Called with each batch in order; the next batch is read after the returned promise resolves.
+   */
   take(events: readonly EngineEvent[]): Promise<void> | undefined;
-  /** Whether the caller has seen any of the answer. */
-  readonly hasReleased: boolean;
+  /** Whether any part of the answer was sent to the caller. */
+  readonly hasSentToCaller: boolean;
 }
 
 export interface StepContext {
@@ -52,18 +54,18 @@
   readonly tracker: RunTracker;
   readonly signal: RequestSignal;
   readonly account: UsageAccount;
-  /** Whether the answer's text is needed, beside being passed on. */
+  /** Whether the text is needed after it was passed to the consumer. */
   readonly keepsText: boolean;
 }
 
-/** A whole answer of one version. */
+/** A complete answer of one version. */
 export interface StepAnswer {
   readonly version: VersionId;
   readonly upstream: UpstreamId;
   readonly stream: UsageStream;
-  /** Empty where the text was not kept. */
+  /** Empty if the text was not kept. */
   readonly text: string;
-  /** By the text where it was kept, else by the count of tokens. */
+  /** Judged by the text if it was kept, otherwise by the number of completion tokens. */
   readonly isEmpty: boolean;
   readonly finishReason: string | undefined;
   readonly usage: { readonly promptTokens: number; readonly completionTokens: number };
@@ -71,11 +73,13 @@
   readonly totalMs: number;
 }
 
-/** No upstream of the version takes the request now. */
+/** No upstream of the version accepts the request now. */
 export class NoUpstreamError extends Refusal {}
 
-/** One daemon's retries, as a share of its traffic. */
-export class RetryAllowance {
+/**
+ * The retry budget that all requests of a daemon share: retries are limited to a share of traffic.
+ */
+export class SharedRetryBudget {
   #budget: RetryBudget;
 
   constructor(budget: RetryBudget) {
@@ -86,7 +90,7 @@
     return this.#budget;
   }
 
-  feed(): void {
+  deposit(): void {
     this.#budget = feedRetryBudget(this.#budget);
   }
 
@@ -119,17 +123,20 @@
 
   readonly #context: StepContext;
 
-  readonly #retries: RetryAllowance;
+  readonly #retries: SharedRetryBudget;
 
   #attempts = 0;
 
-  constructor(deps: RoutingDependencies, context: StepContext, retries: RetryAllowance) {
+  constructor(deps: RoutingDependencies, context: StepContext, retries: SharedRetryBudget) {
     this.#deps = deps;
     this.#context = context;
     this.#retries = retries;
   }
 
-  /** Resolves with the whole answer; throws a refusal, or NoUpstreamError before any dispatch. */
+  /**
+   * Resolves with the complete answer; throws a refusal, which is a `NoUpstreamError` if nothing
+   * ran.
+   */
   async run(step: PlanStep, consumer: EventConsumer): Promise<StepAnswer> {
     const excludedIds: UpstreamId[] = [];
     for (;;) {
@@ -138,9 +145,9 @@
       try {
         return await this.#read(running, consumer);
       } catch (error) {
-        await this.#decideAfter(error, running, consumer, excludedIds, step.version);
+        await this.#retryOrThrow(error, running, consumer, excludedIds, step.version);
       } finally {
-        running.entry.noteEnded();
+        running.entry.recordEnded();
       }
     }
   }
@@ -152,12 +159,12 @@
     this.#assertMayDispatch(version, entry);
     this.#attempts += 1;
     const stream = this.#createStream(version, entry);
-    await account.noteRun(stream);
+    await account.recordRun(stream);
     const dispatch = tracker.startDispatch();
     const { requestId } = request;
     const { timeline, engines, settings } = this.#deps;
     timeline.record('attemptStarted', { requestId, version, upstream: entry.id });
-    entry.noteSent(Date.now());
+    entry.recordSent(Date.now());
     const attempt = new EngineAttempt({
       engines,
       run: {
@@ -189,22 +196,22 @@
       ...(sessionKey === undefined ? {} : { sessionKey }),
     });
     if (chosen === undefined) {
-      throw new NoUpstreamError('noUpstream', `no upstream has room for ${version}`, tracker);
+      throw new NoUpstreamError('noUpstream', `no upstream has capacity for ${version}`, tracker);
     }
     return chosen.entry;
   }
 
-  /** The promises about new work, asserted where it leaves the daemon. */
+  /** Checks the invariants for new work immediately before it is dispatched. */
   #assertMayDispatch(version: VersionId, entry: UpstreamEntry): void {
     const { safeMoves } = this.#deps;
     const sinceMs = entry.leavingSinceMs;
-    const isInTime = sinceMs === undefined || Date.now() - sinceMs <= LEAVING_GRACE_MS;
-    const detail = `${entry.id} is leaving since ${sinceMs}`;
-    if (!isPromiseKept(isInTime, 'leavingGetsNoWork', detail)) {
+    const isWithinGrace = sinceMs === undefined || Date.now() - sinceMs <= LEAVING_GRACE_MS;
+    const detail = `${entry.id} has been leaving since ${sinceMs}`;
+    if (!isPromiseKept(isWithinGrace, 'leavingGetsNoWork', detail)) {
       throw new NoUpstreamError('noUpstream', detail, this.#context.tracker);
     }
     if (safeMoves.isVersionBlocked(version)) {
-      const message = `${version} was withdrawn while the request waited`;
+      const message = `${version} was withdrawn while the request was queued`;
       throw new NoUpstreamError('noUpstream', message, this.#context.tracker);
     }
   }
@@ -231,20 +238,20 @@
     for await (const events of running.attempt.events()) {
       current.firstTokenMs ??= Date.now() - running.startedAtMs;
       events.forEach((event) => running.assembler.add(event.data));
-      await account.ensureHeld();
+      await account.ensureReplicated();
       await consumer.take(events);
     }
-    return this.#conclude(running);
+    return this.#completeAnswer(running);
   }
 
-  #conclude(running: RunningAttempt): StepAnswer {
+  #completeAnswer(running: RunningAttempt): StepAnswer {
     const { entry, stream, assembler, startedAtMs } = running;
     const totalMs = Date.now() - startedAtMs;
     const firstTokenMs = running.firstTokenMs ?? totalMs;
     const usage = assembler.usage ?? { promptTokens: 0, completionTokens: 0 };
     this.#deps.registry.recordOutcome(entry, 'succeeded');
-    this.#noteAnswered();
-    entry.noteFirstToken(firstTokenMs);
+    this.#recordSuccess();
+    entry.recordFirstToken(firstTokenMs);
     this.#deps.latency.record(stream.version, firstTokenMs, totalMs, usage.completionTokens);
     this.#context.account.addLine(stream, usage);
     return {
@@ -260,8 +267,8 @@
     };
   }
 
-  /** Returns when another attempt may be made; throws the final refusal otherwise. */
-  async #decideAfter(
+  /** Returns if another attempt may be made; otherwise throws the final refusal. */
+  async #retryOrThrow(
     error: unknown,
     running: RunningAttempt,
     consumer: EventConsumer,
@@ -269,22 +276,22 @@
     version: VersionId,
   ): Promise<void> {
     const { request, tracker, signal } = this.#context;
-    this.#noteFailure(error, running);
+    this.#recordFailure(error, running);
     if (running.dispatch.state !== 'provedNotRun') {
-      const hasEnded = await this.#endRun(running, consumer);
-      if (hasEnded && signal.reason === undefined) {
-        this.#noteLoss(running);
+      const hasEngineCrashed = await this.#cancelRun(running, consumer);
+      if (hasEngineCrashed && signal.reason === undefined) {
+        this.#recordCrash(running);
       }
     }
     if (signal.reason !== undefined || error instanceof UpstreamAbortedError) {
-      throw this.#createStopRefusal();
+      throw this.#createAbortRefusal();
     }
     const other = this.#deps.registry.choose({ version, excludedIds });
     const decision = decideRetry(
       {
         verdict: running.dispatch.state === 'provedNotRun' ? 'notRun' : 'unknown',
         isIdempotent: request.options.isIdempotent,
-        hasAnswerStarted: consumer.hasReleased,
+        hasAnswerStarted: consumer.hasSentToCaller,
         attempts: this.#attempts,
         budget: this.#retries.budget,
         remainingMs: request.options.deadlineAtMs - Date.now(),
@@ -299,26 +306,31 @@
       return;
     }
     if (tracker.getVerdict() === 'notRun') {
-      throw new NoUpstreamError('noUpstream', `no upstream took ${version}`, tracker, {
-        cause: error,
-      });
+      throw new NoUpstreamError(
+        'noUpstream',
+        `no upstream accepted the request for ${version}`,
+        tracker,
+        {
+          cause: error,
+        },
+      );
     }
-    const message = `the answer of ${version} was lost: ${decision.reason}`;
+    const message = `the answer of ${version} could not be completed: ${decision.reason}`;
     throw new Refusal('upstreamFailed', message, tracker, { cause: error });
   }
 
-  #createStopRefusal(): Refusal {
+  #createAbortRefusal(): Refusal {
     const { tracker, signal } = this.#context;
     return signal.reason === 'callerGone'
-      ? new Refusal('callerGone', 'the caller has gone', tracker)
+      ? new Refusal('callerGone', 'the caller has disconnected', tracker)
       : new Refusal('deadlineExceeded', 'the deadline has passed', tracker);
   }
 
-  #noteFailure(error: unknown, running: RunningAttempt): void {
+  #recordFailure(error: unknown, running: RunningAttempt): void {
     const { requestId } = this.#context.request;
     const { entry, stream } = running;
-    const isStopped = error instanceof UpstreamAbortedError || this.#context.signal.reason;
-    if (!isStopped) {
+    const isAborted = error instanceof UpstreamAbortedError || this.#context.signal.reason;
+    if (!isAborted) {
       this.#deps.registry.recordOutcome(entry, getOutcome(error));
     }
     const detail = { error: error instanceof Error ? error.message : String(error) };
@@ -326,31 +338,32 @@
     this.#deps.timeline.record('attemptFailed', subject, detail);
   }
 
-  #noteAnswered(): void {
+  #recordSuccess(): void {
     const { crashes } = this.#deps;
     if (!crashes.isEmpty) {
-      crashes.noteAnswered(digestChat(this.#context.request));
+      crashes.recordSuccess(digestChat(this.#context.request));
     }
   }
 
-  #noteLoss({ entry, startedAtMs, firstTokenMs }: RunningAttempt): void {
-    const beganAtMs = firstTokenMs === undefined ? undefined : startedAtMs + firstTokenMs;
+  #recordCrash({ entry, startedAtMs, firstTokenMs }: RunningAttempt): void {
+    const answerStartedAtMs = firstTokenMs === undefined ? undefined : startedAtMs + firstTokenMs;
     const { requestId } = this.#context.request;
-    this.#deps.crashes.noteLoss({
+    this.#deps.crashes.recordCrash({
       digest: digestChat(this.#context.request),
       requestId,
       upstream: entry.id,
-      answeredForMs: beganAtMs === undefined ? undefined : Date.now() - beganAtMs,
+      answeredForMs: answerStartedAtMs === undefined ? undefined : Date.now() - answerStartedAtMs,
       isEndExpected: entry.leavingSinceMs !== undefined,
     });
     this.#deps.timeline.record('engineEnded', { requestId, upstream: entry.id });
   }
 
   /**
-   * Cancels a run whose answer nobody waits for, and bills what the caller was given of it. True when the
-   * engine's process has ended: its machine refuses the call, since nobody listens there.
+   * Cancels a run whose answer is no longer awaited and bills the part that the caller received.
+   * Returns true if the engine process has ended: its machine then refuses the connection, since no
+   * process listens on the port.
    */
-  async #endRun(running: RunningAttempt, consumer: EventConsumer): Promise<boolean> {
+  async #cancelRun(running: RunningAttempt, consumer: EventConsumer): Promise<boolean> {
     const { stream, entry, attempt } = running;
     let state: StreamState | undefined;
     try {
@@ -358,7 +371,7 @@
     } catch (error) {
       return error instanceof Error && isRefusedConnection(error.cause);
     }
-    if (!consumer.hasReleased || state === undefined) {
+    if (!consumer.hasSentToCaller || state === undefined) {
       return false;
     }
     const deliveredShare = state.chunks === 0 ? 0 : Math.min(1, attempt.lastOffset / state.chunks);
--- a/packages/routing/src/teamDirectory.ts
+++ b/packages/routing/src/teamDirectory.ts
@@ -1,4 +1,4 @@
-/** Finds the team of a caller's key, and what the team may use. */
+/** Looks up the team of a caller's key and the versions that it may use. */
 import { createHash, timingSafeEqual } from 'node:crypto';
 import { getModelOfVersion, asId, type VersionId } from '@snipehaven/common';
 import { ANY_VERSION, type ConfigurationView, type Resource } from '@snipehaven/resources';
@@ -9,7 +9,6 @@
 const isSameDigest = (a: string, b: string): boolean =>
   timingSafeEqual(Buffer.from(a, 'hex'), Buffer.from(b, 'hex'));
 
-/** Whether the team may use the version. */
 export const isVersionAllowed = (team: Resource<'Team'>, version: string): boolean => {
   const model = getModelOfVersion(asId<VersionId>(version));
   return team.spec.allowedVersions.some(
@@ -17,7 +16,7 @@
   );
 };
 
-/** The versions that the team may use and that exist. */
+/** The existing versions that the team may use. */
 export const listAllowedVersions = (
   view: ConfigurationView,
   team: Resource<'Team'>,
@@ -27,7 +26,7 @@
 export class TeamDirectory {
   #byDigest = new Map<string, CallerIdentity>();
 
-  /** Takes in a configuration. */
+  /** Applies a new configuration. */
   update(view: ConfigurationView): void {
     const entries = view
       .list('Team')
@@ -38,13 +37,15 @@
   }
 
   /**
-   * The team of a key. Keys are looked up by digest, so the time it takes tells nothing about a key; the
-   * digests are compared in constant time all the same.
+   * Returns the team of a key. Keys are looked up by digest, so that timing reveals nothing about a
+   * key; the digests are nevertheless compared in constant time.
    */
   find(key: string): CallerIdentity | undefined {
     const digest = hashKey(key);
     const identity = this.#byDigest.get(digest);
-    const known = identity?.team.spec.keys.find((entry) => isSameDigest(entry.sha256, digest));
-    return known ? identity : undefined;
+    const matchingKey = identity?.team.spec.keys.find((entry) =>
+      isSameDigest(entry.sha256, digest),
+    );
+    return matchingKey ? identity : undefined;
   }
 }
--- a/packages/routing/src/teamLimiter.ts
+++ b/packages/routing/src/teamLimiter.ts
@@ -1,4 +1,4 @@
-/** Each team's limits, as this daemon's share of them. */
+/** Enforces this daemon's share of each team's limits. */
 import {
   hasConcurrencyLeft,
   settleTokens,
@@ -11,10 +11,10 @@
 
 const SECONDS_PER_DAY = 86_400;
 const SPEND_BURST_SECONDS = 3_600;
-/** What a team may spend at once where it was not seen before, of the whole burst. */
-const SPEND_START_SECONDS = 60;
+/** The part of the burst, in seconds of spend, that a team not seen before may use at once. */
+const INITIAL_SPEND_SECONDS = 60;
 
-/** Whether the team's limits let a request in. */
+/** Whether the team's limits allow a request. */
 export type LimitOutcome =
   | { readonly kind: 'allowed'; readonly reservation: LimitReservation }
   | {
@@ -23,9 +23,9 @@
       readonly retryAfterMs: number;
     };
 
-/** What a request has taken of its team's limits. */
+/** What a request has reserved of its team's limits. */
 export interface LimitReservation {
-  /** Gives the place back and corrects the reserved spend. */
+  /** Frees the concurrency slot and replaces the reserved spend by the actual cost. */
   release(actualCostMicroUsd: number): void;
 }
 
@@ -33,16 +33,16 @@
   rate: TokenBucketState;
   spend: TokenBucketState;
   running: number;
-  /** The part of rate and spend that was last in force. */
+  /** The share of the rate and spend limits that was last in force. */
   flow: number;
-  /** Whether the buckets were given what they start with. */
-  isPrimed: boolean;
+  /** Whether the token buckets have received their initial tokens. */
+  isInitialized: boolean;
 }
 
 const MIN_RETRY_AFTER_MS = 100;
 const CONCURRENCY_RETRY_AFTER_MS = 500;
 
-const clampWait = (waitMs: number): number =>
+const clampRetryAfterMs = (waitMs: number): number =>
   Math.min(SECONDS_PER_DAY * 1_000, Math.max(MIN_RETRY_AFTER_MS, waitMs));
 
 const getRateLimit = (team: Resource<'Team'>, flow: number): TokenBucketLimit => {
@@ -67,26 +67,26 @@
     this.#shares = shares;
   }
 
-  /** Takes a request's part of the limits, as far as this daemon's share of them goes. */
+  /** Reserves a request's part of the limits from this daemon's share. */
   reserve(team: Resource<'Team'>, expectedCostMicroUsd: number): LimitOutcome {
     const { name } = team.metadata;
     const state = this.#getState(team);
-    this.#shares.noteArrival(name, expectedCostMicroUsd, state.running);
+    this.#shares.recordArrival(name, expectedCostMicroUsd, state.running);
     const shares = this.#shares.getShares(name);
     if (!hasConcurrencyLeft(state.running, shares.slots)) {
-      this.#shares.noteSlotRefusal(name);
+      this.#shares.recordSlotRefusal(name);
       const retryAfterMs = CONCURRENCY_RETRY_AFTER_MS;
       return { kind: 'limited', limit: 'concurrency', retryAfterMs };
     }
-    return this.#take(team, state, shares, expectedCostMicroUsd);
+    return this.#takeFromBuckets(team, state, shares, expectedCostMicroUsd);
   }
 
-  /** Whether it is worth trying again: the share of a team that was idle here has come. */
+  /** Whether to try again because a share arrived for a team of which this daemon held none. */
   waitForShare(team: Resource<'Team'>): Promise<boolean> {
     return this.#shares.waitForShare(team.metadata.name);
   }
 
-  #take(
+  #takeFromBuckets(
     team: Resource<'Team'>,
     current: TeamState,
     { flow }: ShareAmounts,
@@ -94,16 +94,16 @@
   ): LimitOutcome {
     const state = current;
     const nowMs = Date.now();
-    TeamLimiter.#changeFlow(team, state, flow, nowMs);
+    TeamLimiter.#applyFlowChange(team, state, flow, nowMs);
     const rate = takeTokens(state.rate, getRateLimit(team, flow), nowMs);
     if (!rate.isAllowed) {
       state.rate = rate.state;
-      return { kind: 'limited', limit: 'rate', retryAfterMs: clampWait(rate.waitMs) };
+      return { kind: 'limited', limit: 'rate', retryAfterMs: clampRetryAfterMs(rate.waitMs) };
     }
     const spend = takeTokens(state.spend, getSpendLimit(team, flow), nowMs, costMicroUsd);
     state.spend = spend.state;
     if (!spend.isAllowed) {
-      return { kind: 'limited', limit: 'spend', retryAfterMs: clampWait(spend.waitMs) };
+      return { kind: 'limited', limit: 'spend', retryAfterMs: clampRetryAfterMs(spend.waitMs) };
     }
     state.rate = rate.state;
     const reservation = this.#createReservation(team.metadata.name, state, costMicroUsd);
@@ -111,23 +111,24 @@
   }
 
   /**
-   * What goes wrong: a share that has just grown, applied to the time since the last request, gives tokens
-   * for a time in which other daemons had it; one notices a team above its rate whenever its traffic moves.
-   * The time up to a change counts at the smaller share.
+   * If a share that has just grown were applied to the time since the last request, it would yield
+   * tokens for a period in which other daemons held that share, and a team would exceed its rate
+   * whenever its traffic moves. The time up to the change is therefore credited at the smaller
+   * share.
    */
-  static #changeFlow(
+  static #applyFlowChange(
     team: Resource<'Team'>,
     current: TeamState,
     flow: number,
     nowMs: number,
   ): void {
     const state = current;
-    if (flow > 0 && !state.isPrimed) {
-      state.isPrimed = true;
+    if (flow > 0 && !state.isInitialized) {
+      state.isInitialized = true;
       state.flow = flow;
       const spend = getSpendLimit(team, flow);
       state.rate = { tokens: 1, updatedAtMs: nowMs };
-      state.spend = { tokens: spend.ratePerSecond * SPEND_START_SECONDS, updatedAtMs: nowMs };
+      state.spend = { tokens: spend.ratePerSecond * INITIAL_SPEND_SECONDS, updatedAtMs: nowMs };
     }
     if (flow !== state.flow) {
       const smaller = Math.min(flow, state.flow);
@@ -138,8 +139,8 @@
   }
 
   #createReservation(name: string, state: TeamState, reserved: number): LimitReservation {
-    const taken = state;
-    taken.running += 1;
+    const heldState = state;
+    heldState.running += 1;
     let isReleased = false;
     return {
       release: (actualCostMicroUsd) => {
@@ -147,9 +148,9 @@
           return;
         }
         isReleased = true;
-        taken.running -= 1;
-        taken.spend = settleTokens(taken.spend, reserved, actualCostMicroUsd);
-        this.#shares.noteEnd(name, taken.running);
+        heldState.running -= 1;
+        heldState.spend = settleTokens(heldState.spend, reserved, actualCostMicroUsd);
+        this.#shares.recordEnd(name, heldState.running);
       },
     };
   }
@@ -160,7 +161,7 @@
       return present;
     }
     const empty = { tokens: 0, updatedAtMs: Date.now() };
-    const state = { rate: empty, spend: empty, running: 0, flow: 0, isPrimed: false };
+    const state = { rate: empty, spend: empty, running: 0, flow: 0, isInitialized: false };
     this.#teams.set(team.metadata.uid, state);
     return state;
   }
--- a/packages/routing/src/teamShares/demandMeter.ts
+++ b/packages/routing/src/teamShares/demandMeter.ts
@@ -1,6 +1,6 @@
-/** Measures what a team wants at this daemon. */
+/** Measures a team's demand on this daemon. */
 import {
-  DEMAND_FADE,
+  DEMAND_DECAY,
   DEMAND_HEADROOM,
   MIN_DEMAND_WINDOW_MS,
   MIN_FLOW_DEMAND,
@@ -22,29 +22,29 @@
 
   #wanted: ShareAmounts = { flow: 0, slots: 0 };
 
-  noteArrival(costMicroUsd: number, running: number): void {
+  recordArrival(costMicroUsd: number, running: number): void {
     this.#requests += 1;
     this.#costMicroUsd += costMicroUsd;
     this.#running = running;
     this.#peakRunning = Math.max(this.#peakRunning, running + 1);
   }
 
-  noteSlotRefusal(): void {
+  recordSlotRefusal(): void {
     this.#slotRefusals += 1;
   }
 
-  noteEnd(running: number): void {
+  recordEnd(running: number): void {
     this.#running = running;
   }
 
-  /** What was wanted since the last call, and begins anew. */
-  take(limits: TeamLimits, elapsedMs: number): TeamDemand {
+  /** Returns the demand since the last call and resets the counters. */
+  takeDemand(limits: TeamLimits, elapsedMs: number): TeamDemand {
     const flow = this.#getFlow(limits, Math.max(MIN_DEMAND_WINDOW_MS, elapsedMs));
     const slots = Math.ceil((this.#peakRunning + this.#slotRefusals) * DEMAND_HEADROOM);
-    const faded = this.#wanted.flow * DEMAND_FADE;
+    const decayed = this.#wanted.flow * DEMAND_DECAY;
     this.#wanted = {
-      flow: Math.max(flow, faded < MIN_FLOW_DEMAND ? 0 : faded),
-      slots: Math.max(slots, Math.floor(this.#wanted.slots * DEMAND_FADE)),
+      flow: Math.max(flow, decayed < MIN_FLOW_DEMAND ? 0 : decayed),
+      slots: Math.max(slots, Math.floor(this.#wanted.slots * DEMAND_DECAY)),
     };
     this.#requests = 0;
     this.#costMicroUsd = 0;
--- a/packages/routing/src/teamShares/fixedShares.ts
+++ b/packages/routing/src/teamShares/fixedShares.ts
@@ -1,19 +1,20 @@
 /**
- * The shares that hold without any message: those of data centres, and of the daemons within one. All follow
- * from sorted lists, so that they sum up to no more than the limit wherever the lists are the same.
+ * The shares that apply without any coordination: those of the data centres, and of the daemons
+ * within a data centre. All derive from sorted lists, so their sum does not exceed the limit as
+ * long as the lists are identical.
  */
 import { assignOwnSlots } from '@snipehaven/policy';
 import type { SharePlace } from '@snipehaven/protocol';
 import type { ShareAmounts, ShareKind, TeamLimits } from './types.js';
 
-const OFFSET_FACTOR = 31;
-const OFFSET_LIMIT = 65_521;
+const HASH_MULTIPLIER = 31;
+const HASH_MODULUS = 65_521;
 
-/** Lets the odd slots of different teams fall to different daemons. */
+/** Spreads the slots left over by the division across daemons, differently for each team. */
 const getTeamOffset = (team: string): number =>
-  [...team].reduce((sum, char) => (sum * OFFSET_FACTOR + char.charCodeAt(0)) % OFFSET_LIMIT, 0);
+  [...team].reduce((sum, char) => (sum * HASH_MULTIPLIER + char.charCodeAt(0)) % HASH_MODULUS, 0);
 
-/** The data centre's fixed part of a team's limits. */
+/** A data centre's fixed share of a team's limits. */
 export const getDataCentreTotal = (
   team: string,
   limits: TeamLimits,
@@ -28,7 +29,7 @@
   }),
 });
 
-/** A daemon's fixed part of it. */
+/** A daemon's fixed share of its data centre's share. */
 export const getFixedShares = (
   team: string,
   limits: TeamLimits,
@@ -46,7 +47,7 @@
   };
 };
 
-/** The kinds of shares, as a table of their units. */
+/** The smallest unit in which each kind of share is granted; undefined for fractions. */
 export const SHARE_QUANTA: Readonly<Record<ShareKind, number | undefined>> = {
   flow: undefined,
   slots: 1,
--- a/packages/routing/src/teamShares/sharePlace.ts
+++ b/packages/routing/src/teamShares/sharePlaceResolver.ts
@@ -1,32 +1,32 @@
-/** Where this daemon stands among all data centres and daemons. */
+/** Determines the position of this daemon among all data centres and daemons. */
 import type { MembershipView } from '@snipehaven/membership';
 import type { Member, SharePlace } from '@snipehaven/protocol';
 import type { ConfigurationView } from '@snipehaven/resources';
 
 const toSorted = (names: Iterable<string>): readonly string[] => [...new Set(names)].sort();
 
-export interface SharePlacesOptions {
+export interface SharePlaceResolverOptions {
   readonly membership: Pick<MembershipView, 'self' | 'listMembers'>;
   readonly getView: () => ConfigurationView;
 }
 
 /**
- * What goes wrong: the fixed shares of the living grow as soon as others seem dead. Cut off, each side takes
- * the other for dead, and together they use more than the limit. So all count that are remembered: a daemon
- * until it has left by its own word or is forgotten, an hour after its death; a data centre that had daemons
- * as long as upstreams are configured there, too.
+ * If fixed shares grew as soon as other members seem dead, the two sides of a network partition
+ * would take each other for dead and together exceed the limit. All remembered members therefore
+ * count: a daemon until it has left by its own announcement or is forgotten, an hour after its
+ * death; and a data centre that had daemons also as long as upstreams are configured in it.
  */
-export class SharePlaces {
-  readonly #options: SharePlacesOptions;
+export class SharePlaceResolver {
+  readonly #options: SharePlaceResolverOptions;
 
-  #metDataCentres: readonly string[] = [];
+  #knownDataCentres: readonly string[] = [];
 
-  constructor(options: SharePlacesOptions) {
+  constructor(options: SharePlaceResolverOptions) {
     this.#options = options;
   }
 
-  /** Where this daemon stands now. */
-  find(): SharePlace {
+  /** The current position of this daemon. */
+  resolve(): SharePlace {
     const { self } = this.#options.membership;
     const members = this.#options.membership.listMembers();
     const dataCentres = this.#listDataCentres(members);
@@ -48,11 +48,11 @@
     const { membership, getView } = this.#options;
     const upstreams = getView().list('Upstream');
     const configured = new Set(upstreams.map(({ spec }) => spec.dataCentre));
-    this.#metDataCentres = toSorted([
+    this.#knownDataCentres = toSorted([
       membership.self.dataCentre,
       ...members.map((member) => member.dataCentre),
-      ...this.#metDataCentres.filter((dataCentre) => configured.has(dataCentre)),
+      ...this.#knownDataCentres.filter((dataCentre) => configured.has(dataCentre)),
     ]);
-    return this.#metDataCentres;
+    return this.#knownDataCentres;
   }
 }
--- a/packages/routing/src/teamShares/shareBook.ts
+++ b/packages/routing/src/teamShares/teamShareAllocator.ts
@@ -1,4 +1,4 @@
-/** The allocator's side, for one term: a data centre's part of all teams' limits. */
+/** Allocates a data centre's share of all teams' limits to its daemons, for one lease term. */
 import {
   answerShareRequest,
   createShareAllocator,
@@ -21,37 +21,37 @@
 
 type TeamAllocators = Record<ShareKind, ShareAllocator>;
 
-/** A daemon as it last asked. */
-interface Asker {
+/** The latest request of a daemon. */
+interface LatestRequest {
   readonly message: RequestShares;
-  readonly heardAtMs: number;
+  readonly receivedAtMs: number;
 }
 
-interface TeamAsk {
+interface TeamRequest {
   readonly wanted: ShareAmounts;
   readonly held: ShareAmounts;
 }
 
 const FLOW_UNITS = 10 ** FLOW_DIGITS;
 
-/** Few digits keep the message small; never more than was granted. */
+/** Rounding keeps messages small; rounding down never grants more than was allocated. */
 const roundDown = (flow: number): number => Math.floor(flow * FLOW_UNITS) / FLOW_UNITS;
 
-const NOTHING: TeamAsk = { wanted: { flow: 0, slots: 0 }, held: { flow: 0, slots: 0 } };
+const EMPTY_REQUEST: TeamRequest = { wanted: { flow: 0, slots: 0 }, held: { flow: 0, slots: 0 } };
 
-const toAsk = ([, flow, heldFlow, slots, heldSlots]: TeamDemandTuple): TeamAsk => ({
+const toTeamRequest = ([, flow, heldFlow, slots, heldSlots]: TeamDemandTuple): TeamRequest => ({
   wanted: { flow, slots },
   held: { flow: heldFlow, slots: heldSlots },
 });
 
-export class ShareBook {
+export class TeamShareAllocator {
   readonly term: number;
 
   readonly #findLimits: FindLimits;
 
   #termEndsAtMs: number;
 
-  readonly #askers = new Map<string, Asker>();
+  readonly #latestRequests = new Map<string, LatestRequest>();
 
   readonly #teams = new Map<string, TeamAllocators>();
 
@@ -61,32 +61,36 @@
     this.#findLimits = findLimits;
   }
 
-  /** Moves the end of the term; grants given before stay as they are. */
+  /** Extends the term; grants already given are not changed. */
   extend(termEndsAtMs: number): void {
     this.#termEndsAtMs = termEndsAtMs;
   }
 
-  /** Answers one daemon; `place` is the allocator's own. Undefined: the term is over, the request old. */
-  answer(message: RequestShares, place: SharePlace, nowMs: number): GrantedShares | undefined {
+  /**
+   * Answers a request of one daemon; `place` is the allocator's own. Undefined if the term is over
+   * or the request is older than the last one.
+   */
+  allocate(message: RequestShares, place: SharePlace, nowMs: number): GrantedShares | undefined {
     const ttlMs = Math.min(SHARE_TTL_MS, this.#termEndsAtMs - nowMs);
-    const known = this.#askers.get(message.vm);
+    const known = this.#latestRequests.get(message.vm);
     if (ttlMs <= 0 || (known && message.seq <= known.message.seq)) {
       return undefined;
     }
-    const asks = new Map(message.demands.map((tuple) => [tuple[0], toAsk(tuple)]));
-    asks.forEach((_ask, team) => this.#ensureTeam(team, place));
-    this.#askers.set(message.vm, { message, heardAtMs: nowMs });
+    const teamRequests = new Map(message.demands.map((tuple) => [tuple[0], toTeamRequest(tuple)]));
+    teamRequests.forEach((_request, team) => this.#ensureTeam(team, place));
+    this.#latestRequests.set(message.vm, { message, receivedAtMs: nowMs });
     const shares = [...this.#teams.keys()].flatMap((team) => {
-      const granted = this.#answerTeam(team, message, asks.get(team), place, nowMs);
+      const granted = this.#allocateTeam(team, message, teamRequests.get(team), place, nowMs);
       return granted ? [[team, roundDown(granted.flow), granted.slots] as const] : [];
     });
-    this.#forget(nowMs);
+    this.#removeExpired(nowMs);
     return { seq: message.seq, term: this.term, ttlMs, answeredAtMs: nowMs, shares };
   }
 
   /**
-   * A team's allocators begin with all who asked in this term: none of them holds any of the team's share
-   * that it did not name, and each promised not to fall back for a while.
+   * A team's allocators start with all daemons that sent a request in this term. A daemon that did
+   * not name the team holds no share of it, and each has promised not to fall back to its fixed
+   * share for a while.
    */
   #ensureTeam(team: string, place: SharePlace): void {
     const limits = this.#findLimits(team);
@@ -111,21 +115,21 @@
       ...createShareAllocator(total, this.term, this.#termEndsAtMs),
       ...(quantum === undefined ? {} : { quantum }),
     };
-    return [...this.#askers.values()].reduce(
-      (allocator, { message, heardAtMs }) =>
+    return [...this.#latestRequests.values()].reduce(
+      (allocator, { message, receivedAtMs }) =>
         hearShareMember(
           allocator,
-          ShareBook.#toRequest(kind, team, limits, message, NOTHING),
-          heardAtMs,
+          TeamShareAllocator.#toRequest(kind, team, limits, message, EMPTY_REQUEST),
+          receivedAtMs,
         ),
       created,
     );
   }
 
-  #answerTeam(
+  #allocateTeam(
     team: string,
     message: RequestShares,
-    ask: TeamAsk | undefined,
+    teamRequest: TeamRequest | undefined,
     place: SharePlace,
     nowMs: number,
   ): ShareAmounts | undefined {
@@ -138,9 +142,15 @@
     const total = getDataCentreTotal(team, limits, place);
     const granted = { flow: 0, slots: 0 };
     SHARE_KINDS.forEach((kind) => {
-      const request = ShareBook.#toRequest(kind, team, limits, message, ask ?? NOTHING);
+      const request = TeamShareAllocator.#toRequest(
+        kind,
+        team,
+        limits,
+        message,
+        teamRequest ?? EMPTY_REQUEST,
+      );
       const current = extendTerm({ ...allocators[kind], total: total[kind] }, this.#termEndsAtMs);
-      if (ask === undefined) {
+      if (teamRequest === undefined) {
         allocators[kind] = hearShareMember(current, request, nowMs);
         return;
       }
@@ -148,7 +158,7 @@
       allocators[kind] = answer.allocator;
       granted[kind] = answer.grant?.share ?? 0;
     });
-    return ask && granted;
+    return teamRequest && granted;
   }
 
   static #toRequest(
@@ -156,28 +166,31 @@
     team: string,
     limits: TeamLimits,
     message: RequestShares,
-    ask: TeamAsk,
+    teamRequest: TeamRequest,
   ): ShareRequest {
     const { vm, seq, place, lastAnswer } = message;
     return {
       member: vm,
       seq,
-      demand: ask.wanted[kind],
-      heldShare: ask.held[kind],
+      demand: teamRequest.wanted[kind],
+      heldShare: teamRequest.held[kind],
       fixedShare: getFixedShares(team, limits, place)[kind],
       ...(lastAnswer && { lastAnswer }),
     };
   }
 
-  /** Drops the long silent, and teams of which nobody has or wants a share. */
-  #forget(nowMs: number): void {
-    this.#askers.forEach(({ heardAtMs }, vm) => {
-      if (nowMs - heardAtMs >= SHARE_FORGET_MS) {
-        this.#askers.delete(vm);
+  /**
+   * Removes daemons that have been silent for too long, and teams that have neither demand nor
+   * outstanding shares.
+   */
+  #removeExpired(nowMs: number): void {
+    this.#latestRequests.forEach(({ receivedAtMs }, vm) => {
+      if (nowMs - receivedAtMs >= SHARE_FORGET_MS) {
+        this.#latestRequests.delete(vm);
       }
     });
     this.#teams.forEach((allocators, team) => {
-      if (SHARE_KINDS.every((kind) => ShareBook.#isIdle(allocators[kind]))) {
+      if (SHARE_KINDS.every((kind) => TeamShareAllocator.#isIdle(allocators[kind]))) {
         this.#teams.delete(team);
       }
     });
--- a/packages/routing/src/teamShares/shareHolding.ts
+++ b/packages/routing/src/teamShares/teamShareHolder.ts
@@ -1,4 +1,4 @@
-/** A daemon's side: the shares it holds of all teams, under one sequence of requests. */
+/** The shares that a daemon holds of all teams' limits, with one request sequence for all teams. */
 import {
   adoptShare,
   createShareHolder,
@@ -19,22 +19,25 @@
 const NO_SHARES: ShareAmounts = { flow: 0, slots: 0 };
 const FLOW_UNITS = 10 ** FLOW_DIGITS;
 
-/** What is held is told rounded up: less than the truth would let others have the difference too. */
+/**
+ * Held shares are reported rounded up: a value too low would let other daemons use the difference
+ * as well.
+ */
 const roundUp = (flow: number): number => Math.ceil(flow * FLOW_UNITS) / FLOW_UNITS;
 
-export class ShareHolding {
+export class TeamShareHolder {
   readonly #vm: string;
 
   readonly #findLimits: FindLimits;
 
-  /** Times and numbers of requests and answers, which all teams have in common. */
+  /** Timing and sequence numbers of requests and responses, common to all teams. */
   #holder: ShareHolder;
 
   #shares = new Map<string, ShareAmounts>();
 
   #place: SharePlace;
 
-  /** The place that the last adopted answer took into account. */
+  /** The position that the last adopted response was based on. */
   #confirmedPlace: SharePlace | undefined;
 
   constructor(vm: string, place: SharePlace, findLimits: FindLimits, nowMs: number) {
@@ -44,22 +47,23 @@
     this.#holder = createShareHolder(vm, 0, nowMs);
   }
 
-  /** Whether any answer was adopted. */
   get hasAnswer(): boolean {
     return this.#holder.lastAnswer !== undefined;
   }
 
-  /** Whether shares are in force: by an answer, or the fixed ones once the wait for one is over. */
+  /**
+   * Whether shares are in force: from a response, or the fixed shares after the wait for a response
+   * is over.
+   */
   isUsable(nowMs: number): boolean {
     return this.hasAnswer || nowMs >= this.#holder.fallBackAtMs;
   }
 
-  /** Whether the team was part of the last answer. */
+  /** Whether the last response included the team. */
   hasTeam(team: string): boolean {
     return this.#shares.has(team);
   }
 
-  /** The shares in force now. */
   getShares(team: string, nowMs: number): ShareAmounts {
     const fixed = this.#getFixed(team);
     return {
@@ -68,7 +72,7 @@
     };
   }
 
-  /** The next request to send. Teams that are not among the demands are given up. */
+  /** Creates the next request. Shares of teams that are not in `demands` are given up. */
   request(
     demands: ReadonlyMap<string, TeamDemand>,
     place: SharePlace,
@@ -84,7 +88,7 @@
     return { vm, seq, place, demands: tuples, ...(lastAnswer && { lastAnswer }) };
   }
 
-  /** Takes in an answer; one to an earlier request changes nothing. */
+  /** Adopts a response; a response to an earlier request is ignored. */
   adopt(grant: GrantedShares, nowMs: number): void {
     const adopted = adoptShare(this.#holder, { ...grant, member: this.#vm, share: 0 }, nowMs);
     if (adopted === this.#holder) {
@@ -112,8 +116,9 @@
   }
 
   /**
-   * What goes wrong: a fixed share that grows, for a daemon left, before the allocator knows of it is more
-   * than it left room for. A larger one counts from the answer on that has taken it into account.
+   * A fixed share that grows because a daemon has left exceeds what the allocator reserved until
+   * the allocator knows of the change. A larger fixed share therefore takes effect only with the
+   * first response that accounts for it.
    */
   #getFixed(team: string): ShareAmounts {
     const limits = this.#findLimits(team);
--- a/packages/routing/src/teamShares/teamShares.ts
+++ b/packages/routing/src/teamShares/teamShares.ts
@@ -1,4 +1,4 @@
-/** Divides the teams' limits among the daemons of a data centre, by demand. */
+/** Divides the teams' limits among the daemons of a data centre by demand. */
 import { getErrorMessage, type Logger, type Random, sleep } from '@snipehaven/common';
 import type { Lease, LeaseKeeper, MembershipView } from '@snipehaven/membership';
 import { SHARE_REQUEST_INTERVAL_MS } from '@snipehaven/policy';
@@ -11,19 +11,19 @@
 import type { ConfigurationView } from '@snipehaven/resources';
 import {
   FIRST_REQUEST_INTERVAL_MS,
-  FULL_PACE_DAEMONS,
+  FULL_RATE_DAEMONS,
   LEASE_DURATION_MS,
   LEASE_RENEW_MS,
   MAX_REQUEST_INTERVAL_MS,
   REQUEST_JITTER,
-  SHARE_WAIT_MS,
+  SHARE_WAIT_TIMEOUT_MS,
   TEAM_SHARES_DUTY,
 } from './constants.js';
 import { DemandMeter } from './demandMeter.js';
-import { ShareBook } from './shareBook.js';
-import { ShareHolding } from './shareHolding.js';
-import { SharePlaces } from './sharePlace.js';
-import { createSteadyClock } from './steadyClock.js';
+import { TeamShareAllocator } from './teamShareAllocator.js';
+import { TeamShareHolder } from './teamShareHolder.js';
+import { SharePlaceResolver } from './sharePlaceResolver.js';
+import { createSuspendAwareClock } from './suspendAwareClock.js';
 import type { FindLimits, ShareAmounts, TeamDemand, TeamShareSource } from './types.js';
 
 export interface TeamSharesOptions {
@@ -40,51 +40,51 @@
 
 export class TeamShares implements TeamShareSource {
   readonly handlers: LimitHandlers = {
-    requestShares: (message) => Promise.resolve({ grant: this.#answer(message) }),
+    requestShares: (message) => Promise.resolve({ grant: this.#handleRequest(message) }),
   };
 
   readonly #options: TeamSharesOptions;
 
-  readonly #getNowMs = createSteadyClock();
+  readonly #getNowMs = createSuspendAwareClock();
 
-  readonly #places: SharePlaces;
+  readonly #placeResolver: SharePlaceResolver;
 
-  readonly #holding: ShareHolding;
+  readonly #holder: TeamShareHolder;
 
   readonly #meters = new Map<string, DemandMeter>();
 
   readonly #stopped = new AbortController();
 
-  #askedAtMs: number;
+  #lastDemandAtMs: number;
 
-  #asking: Promise<void> | undefined;
+  #pendingRequest: Promise<void> | undefined;
 
   #lease: Lease | undefined;
 
-  #leaseTriedAtMs = -Infinity;
+  #leaseAttemptedAtMs = -Infinity;
 
-  #book: ShareBook | undefined;
+  #allocator: TeamShareAllocator | undefined;
 
   constructor(options: TeamSharesOptions) {
     this.#options = options;
-    this.#places = new SharePlaces(options);
-    this.#askedAtMs = this.#getNowMs();
-    this.#holding = new ShareHolding(
+    this.#placeResolver = new SharePlaceResolver(options);
+    this.#lastDemandAtMs = this.#getNowMs();
+    this.#holder = new TeamShareHolder(
       options.membership.self.vm,
-      this.#places.find(),
+      this.#placeResolver.resolve(),
       this.#findLimits,
-      this.#askedAtMs,
+      this.#lastDemandAtMs,
     );
   }
 
   start(): void {
-    void this.#repeat();
+    void this.#runLoop();
   }
 
-  /** Gives the lease up, so that another daemon takes over at once. */
+  /** Releases the lease, so that another daemon can take over immediately. */
   async stop(): Promise<void> {
     this.#stopped.abort();
-    await this.#leave();
+    await this.#releaseLease();
   }
 
   kill(): void {
@@ -92,57 +92,59 @@
   }
 
   /**
-   * A new daemon has no share until the allocator answers, or it has waited as long as an earlier life of
-   * it may have promised: until then it would refuse every request, and is not ready.
+   * A new daemon holds no share until the allocator responds, or until any grant to its previous
+   * incarnation must have expired. Before that it would refuse every request, so it is not ready.
    */
   get isUsable(): boolean {
-    return this.#holding.isUsable(this.#getNowMs());
+    return this.#holder.isUsable(this.#getNowMs());
   }
 
   getShares(team: string): ShareAmounts {
-    return this.#holding.getShares(team, this.#getNowMs());
+    return this.#holder.getShares(team, this.#getNowMs());
   }
 
-  noteArrival(team: string, costMicroUsd: number, running: number): void {
-    this.#getMeter(team).noteArrival(costMicroUsd, running);
+  recordArrival(team: string, costMicroUsd: number, running: number): void {
+    this.#getMeter(team).recordArrival(costMicroUsd, running);
   }
 
-  noteSlotRefusal(team: string): void {
-    this.#getMeter(team).noteSlotRefusal();
+  recordSlotRefusal(team: string): void {
+    this.#getMeter(team).recordSlotRefusal();
   }
 
-  noteEnd(team: string, running: number): void {
-    this.#getMeter(team).noteEnd(running);
+  recordEnd(team: string, running: number): void {
+    this.#getMeter(team).recordEnd(running);
   }
 
   /**
-   * Teams without demand at a daemon hold no share there, and the first request after a pause would be
-   * refused though the limit is unused. It waits for one answer instead; teams that the last answer
-   * named already got what there was.
+   * A daemon holds no share of a team without demand there, so the first request after a pause
+   * would be refused although the limit is unused. It waits for one response instead. Teams
+   * included in the last response already got what was available.
    */
   async waitForShare(team: string): Promise<boolean> {
-    if (this.#holding.hasTeam(team)) {
+    if (this.#holder.hasTeam(team)) {
       return false;
     }
     const timer = new AbortController();
-    await Promise.race([this.#askFor(team), sleep(SHARE_WAIT_MS, timer.signal)]);
+    await Promise.race([this.#requestShareOf(team), sleep(SHARE_WAIT_TIMEOUT_MS, timer.signal)]);
     timer.abort();
-    return this.#holding.hasTeam(team);
+    return this.#holder.hasTeam(team);
   }
 
-  /** A request on its way may have been sent before the team was wanted: then another one follows. */
-  async #askFor(team: string): Promise<void> {
-    await this.#asking;
-    if (!this.#holding.hasTeam(team)) {
-      await this.#askOnce();
+  /**
+   * A request in flight may have been created before the team had demand; another one then follows.
+   */
+  async #requestShareOf(team: string): Promise<void> {
+    await this.#pendingRequest;
+    if (!this.#holder.hasTeam(team)) {
+      await this.#requestOnce();
     }
   }
 
-  #askOnce(): Promise<void> {
-    this.#asking ??= this.#ask().finally(() => {
-      this.#asking = undefined;
+  #requestOnce(): Promise<void> {
+    this.#pendingRequest ??= this.#sendRequest().finally(() => {
+      this.#pendingRequest = undefined;
     });
-    return this.#asking;
+    return this.#pendingRequest;
   }
 
   readonly #findLimits: FindLimits = (team) =>
@@ -158,55 +160,55 @@
     return created;
   }
 
-  async #repeat(): Promise<void> {
+  async #runLoop(): Promise<void> {
     const { signal } = this.#stopped;
     while (!signal.aborted) {
-      await this.#keepLease().catch((error: unknown) => this.#note(error));
-      await this.#askOnce();
+      await this.#renewLease().catch((error: unknown) => this.#logError(error));
+      await this.#requestOnce();
       await sleep(this.#getIntervalMs(), signal);
     }
   }
 
   #getIntervalMs(): number {
-    if (!this.#holding.hasAnswer) {
+    if (!this.#holder.hasAnswer) {
       return FIRST_REQUEST_INTERVAL_MS;
     }
-    const pace = this.#options.membership.listLocal().length / FULL_PACE_DAEMONS;
-    const slowedMs = SHARE_REQUEST_INTERVAL_MS * Math.max(1, pace);
+    const slowdown = this.#options.membership.listLocal().length / FULL_RATE_DAEMONS;
+    const intervalMs = SHARE_REQUEST_INTERVAL_MS * Math.max(1, slowdown);
     const jitter = 1 + REQUEST_JITTER * (this.#options.random.next() - 0.5);
-    return Math.min(MAX_REQUEST_INTERVAL_MS, slowedMs) * jitter;
+    return Math.min(MAX_REQUEST_INTERVAL_MS, intervalMs) * jitter;
   }
 
-  #note(error: unknown): void {
-    this.#options.logger.debug({ error: getErrorMessage(error) }, 'asking for shares failed');
+  #logError(error: unknown): void {
+    this.#options.logger.debug({ error: getErrorMessage(error) }, 'failed to request team shares');
   }
 
-  async #ask(): Promise<void> {
+  async #sendRequest(): Promise<void> {
     try {
       const { membership, transport } = this.#options;
       const nowMs = this.#getNowMs();
       const demands = this.#takeDemands(nowMs);
-      const message = this.#holding.request(demands, this.#places.find(), nowMs);
+      const message = this.#holder.request(demands, this.#placeResolver.resolve(), nowMs);
       const owner = membership.getDutyOwner(TEAM_SHARES_DUTY);
       const isSelf = owner.incarnation === membership.self.incarnation;
       const { limits } = isSelf ? { limits: this.handlers } : transport.getPeer(owner.address);
       const { grant } = await limits.requestShares(message);
       if (grant) {
-        this.#holding.adopt(grant, this.#getNowMs());
+        this.#holder.adopt(grant, this.#getNowMs());
       }
     } catch (error) {
-      this.#note(error);
+      this.#logError(error);
     }
   }
 
-  /** Teams with demand or running requests; the others go unnamed and are dropped. */
+  /** Teams with demand or running requests; the others are left out of the request and dropped. */
   #takeDemands(nowMs: number): ReadonlyMap<string, TeamDemand> {
-    const elapsedMs = nowMs - this.#askedAtMs;
-    this.#askedAtMs = nowMs;
+    const elapsedMs = nowMs - this.#lastDemandAtMs;
+    this.#lastDemandAtMs = nowMs;
     const demands = new Map<string, TeamDemand>();
     this.#meters.forEach((meter, team) => {
       const limits = this.#findLimits(team);
-      const demand = limits && meter.take(limits, elapsedMs);
+      const demand = limits && meter.takeDemand(limits, elapsedMs);
       if (demand && demand.wanted.flow + demand.wanted.slots + demand.running > 0) {
         demands.set(team, demand);
       } else {
@@ -216,46 +218,46 @@
     return demands;
   }
 
-  async #keepLease(): Promise<void> {
+  async #renewLease(): Promise<void> {
     const { membership, leases } = this.#options;
     if (!membership.ownsDuty(TEAM_SHARES_DUTY)) {
-      await this.#leave();
+      await this.#releaseLease();
       return;
     }
     const nowMs = this.#getNowMs();
-    if (this.#lease?.isHeld() && nowMs - this.#leaseTriedAtMs < LEASE_RENEW_MS) {
+    if (this.#lease?.isHeld() && nowMs - this.#leaseAttemptedAtMs < LEASE_RENEW_MS) {
       return;
     }
-    this.#leaseTriedAtMs = nowMs;
+    this.#leaseAttemptedAtMs = nowMs;
     const name = `${TEAM_SHARES_DUTY}/${membership.self.dataCentre}`;
     this.#lease = await leases.acquire(name, LEASE_DURATION_MS);
-    this.#openBook();
+    this.#updateAllocator();
   }
 
-  async #leave(): Promise<void> {
+  async #releaseLease(): Promise<void> {
     const lease = this.#lease;
     this.#lease = undefined;
-    this.#book = undefined;
-    await lease?.release().catch((error: unknown) => this.#note(error));
+    this.#allocator = undefined;
+    await lease?.release().catch((error: unknown) => this.#logError(error));
   }
 
-  #openBook(): void {
+  #updateAllocator(): void {
     const lease = this.#lease;
     if (lease === undefined || !lease.isHeld()) {
-      this.#book = undefined;
+      this.#allocator = undefined;
       return;
     }
     const termEndsAtMs = this.#getNowMs() + lease.getRemainingMs();
-    if (this.#book?.term !== lease.fence) {
-      this.#book = new ShareBook(lease.fence, termEndsAtMs, this.#findLimits);
+    if (this.#allocator?.term !== lease.fence) {
+      this.#allocator = new TeamShareAllocator(lease.fence, termEndsAtMs, this.#findLimits);
     }
-    this.#book.extend(termEndsAtMs);
+    this.#allocator.extend(termEndsAtMs);
   }
 
-  #answer(message: RequestShares): GrantedShares | undefined {
+  #handleRequest(message: RequestShares): GrantedShares | undefined {
     if (!this.#lease?.isHeld()) {
       return undefined;
     }
-    return this.#book?.answer(message, this.#places.find(), this.#getNowMs());
+    return this.#allocator?.allocate(message, this.#placeResolver.resolve(), this.#getNowMs());
   }
 }
--- a/packages/routing/src/teamShares/types.ts
+++ b/packages/routing/src/teamShares/types.ts
@@ -1,31 +1,37 @@
-/** What the division of the teams' limits works with. */
+/** Types of team limit sharing. */
 import type { Resource } from '@snipehaven/resources';
 
 export type TeamLimits = Resource<'Team'>['spec']['limits'];
 
-/** `flow`: the part of rate and spend, of 1; `slots`: whole slots of the concurrency limit. */
+/**
+ * `flow` is a fraction, 0 to 1, of the rate and spend limits; `slots` are whole slots of the
+ * concurrency limit.
+ */
 export type ShareKind = 'flow' | 'slots';
 
 /** An amount of each kind. */
 export type ShareAmounts = Readonly<Record<ShareKind, number>>;
 
-/** What a daemon wants of a team's limits, and what it can't give up at once. */
+/**
+ * What a daemon requests of a team's limits, and the running requests whose slots it cannot
+ * release.
+ */
 export interface TeamDemand {
   readonly wanted: ShareAmounts;
   readonly running: number;
 }
 
-/** The limits of a team in the configuration in force; undefined: there is no such team. */
+/** Returns the team's limits in the current configuration; undefined if there is no such team. */
 export type FindLimits = (team: string) => TeamLimits | undefined;
 
-/** This daemon's share of each team's limits, and its word on what it needs. */
+/** Provides this daemon's share of each team's limits and records its demand. */
 export interface TeamShareSource {
   getShares(team: string): ShareAmounts;
-  /** Notes a request that came, and how many of the team's run. */
-  noteArrival(team: string, costMicroUsd: number, running: number): void;
-  /** Notes that one was refused for want of a slot. */
-  noteSlotRefusal(team: string): void;
-  noteEnd(team: string, running: number): void;
-  /** Asks for the share of a team that was idle here; false: there is none to wait for. */
+  /** Records an incoming request and how many of the team's requests are running. */
+  recordArrival(team: string, costMicroUsd: number, running: number): void;
+  /** Records that a request was refused because no slot was free. */
+  recordSlotRefusal(team: string): void;
+  recordEnd(team: string, running: number): void;
+  /** Waits for a share of a team that had no demand here; false if none arrives. */
   waitForShare(team: string): Promise<boolean>;
 }
--- a/packages/routing/src/testSupport/resources.ts
+++ b/packages/routing/src/testSupport/resources.ts
@@ -1,4 +1,4 @@
-/** Resources of tests, and views over them. */
+/** Resources and configuration views for tests. */
 import {
   restoreSpec,
   type ConfigurationView,
@@ -6,7 +6,7 @@
   type Resource,
 } from '@snipehaven/resources';
 
-/** A resource with the defaults of its kind. */
+/** Creates a resource with the defaults of its kind. */
 export const createResource = <K extends Kind>(
   kind: K,
   name: string,
@@ -34,7 +34,10 @@
   };
 };
 
-/** Engines that serve the versions, by name and data centre, at 127.0.0.1, 127.0.0.2 and so on. */
+/**
+ * Creates engines that serve the versions, from a map of name to data centre, at 127.0.0.1,
+ * 127.0.0.2 and so on.
+ */
 export const createUpstreams = (
   dataCentres: Readonly<Record<string, string>>,
   versions: readonly string[] = ['small@1'],
@@ -44,7 +47,7 @@
     return createResource('Upstream', name, { dataCentre, type: 'engine', url, versions });
   });
 
-/** A team that may use all versions of `small`, and of `large` the first. */
+/** Creates a team that may use all versions of `small` and the first version of `large`. */
 export const createTeam = (spec: object = {}): Resource<'Team'> =>
   createResource('Team', 'alpha', {
     keys: [{ name: 'main', sha256: '0'.repeat(64) }],
@@ -53,7 +56,7 @@
     ...spec,
   });
 
-/** A version that costs this much for a token, in or out, and is expected to be this good. */
+/** Creates a version with the same price per input and output token and a prior quality. */
 export const createVersion = (
   name: string,
   costMicroUsdPerToken: number,
--- a/packages/routing/src/testing/shareWorld.ts
+++ b/packages/routing/src/testing/teamSharesCluster.ts
@@ -1,4 +1,4 @@
-/** Daemons that divide team limits, over fakes of membership, leases and transport; for tests. */
+/** A test cluster of daemons that share team limits over fake membership, leases and transport. */
 import { createRandom, createSilentLogger, sleep, type Random } from '@snipehaven/common';
 import type { Lease, LeaseKeeper, MembershipView } from '@snipehaven/membership';
 import type { Member, PeerHandlers } from '@snipehaven/protocol';
@@ -6,7 +6,7 @@
 import { TeamShares } from '../teamShares/index.js';
 import type { ShareAmounts, TeamLimits } from '../teamShares/types.js';
 
-export interface ShareWorldOptions {
+export interface TeamSharesClusterOptions {
   readonly seed: number;
   readonly dataCentres: readonly string[];
   readonly daemonsPerDataCentre: number;
@@ -26,21 +26,21 @@
 }
 
 const LATENCY_MS = 2;
-const LATE_MS = 3_000;
+const MAX_DELAY_MS = 3_000;
 const LEASE_MARGIN = 0.9;
 
-export class ShareWorld {
+export class TeamSharesCluster {
   readonly daemons: readonly ShareDaemon[];
 
-  /** Part of messages that are lost, and of those that come late. */
-  lossShare = 0;
+  /** The fractions of messages that are lost and delayed. */
+  lossRate = 0;
 
-  lateShare = 0;
+  delayRate = 0;
 
-  isTableAway = false;
+  isTableUnavailable = false;
 
-  /** VMs that reach nobody and that nobody reaches. */
-  readonly cutVms = new Set<string>();
+  /** VMs that can neither send nor receive. */
+  readonly isolatedVms = new Set<string>();
 
   messages = 0;
 
@@ -50,9 +50,9 @@
 
   readonly #leases = new Map<string, LeaseRow>();
 
-  readonly #limits: ShareWorldOptions['limits'];
+  readonly #limits: TeamSharesClusterOptions['limits'];
 
-  constructor(options: ShareWorldOptions) {
+  constructor(options: TeamSharesClusterOptions) {
     this.#random = createRandom(options.seed);
     this.#limits = options.limits;
     this.daemons = options.dataCentres.flatMap((dataCentre) =>
@@ -67,7 +67,7 @@
     return this.daemons.find(({ member }) => member.vm === vm) as ShareDaemon;
   }
 
-  /** The daemon that divides the limits of a data centre. */
+  /** The daemon that allocates the limits of a data centre. */
   getAllocator(dataCentre: string): ShareDaemon | undefined {
     const holder = this.#leases.get(`teamShares/${dataCentre}`)?.holder;
     return this.daemons.find(({ member, isDead }) => !isDead && member.incarnation === holder);
@@ -79,7 +79,7 @@
     daemon.shares.kill();
   }
 
-  /** What all living daemons may use of a team's limits now. */
+  /** What all living daemons together may use of a team's limits now. */
   sum(team: string): ShareAmounts {
     return this.daemons
       .filter(({ isDead }) => !isDead)
@@ -124,7 +124,7 @@
     } as unknown as ConfigurationView;
   }
 
-  /** The dead are out of the live lists at once, and remembered. */
+  /** Dead members leave the lists of live members at once but stay in the list of all members. */
   #createMembership(self: Member): MembershipView {
     const listLocal = (): readonly Member[] =>
       this.daemons
@@ -146,8 +146,8 @@
         await sleep(LATENCY_MS);
         const row = this.#leases.get(name);
         const isOwn = row?.holder === self.incarnation && Date.now() < row.untilMs;
-        const isAway = this.isTableAway || this.cutVms.has(self.vm);
-        if (!isAway && (isOwn || !row || Date.now() >= row.untilMs)) {
+        const isUnreachable = this.isTableUnavailable || this.isolatedVms.has(self.vm);
+        if (!isUnreachable && (isOwn || !row || Date.now() >= row.untilMs)) {
           const fence = isOwn ? row.fence : (row?.fence ?? 0) + 1;
           const untilMs = Date.now() + durationMs;
           this.#leases.set(name, { holder: self.incarnation, fence, untilMs });
@@ -175,25 +175,25 @@
 
   #createPeer(from: string, address: string): PeerHandlers {
     const requestShares: PeerHandlers['limits']['requestShares'] = async (message) => {
-      await this.#carry(from, address, message);
+      await this.#deliver(from, address, message);
       const peer = this.get(address);
       if (peer.isDead) {
         throw new Error('refused');
       }
       const answer = await peer.shares.handlers.requestShares(structuredClone(message));
-      await this.#carry(address, from, answer);
+      await this.#deliver(address, from, answer);
       return structuredClone(answer);
     };
     return { limits: { requestShares } } as PeerHandlers;
   }
 
-  async #carry(from: string, to: string, body: unknown): Promise<void> {
+  async #deliver(from: string, to: string, body: unknown): Promise<void> {
     this.messages += 1;
     this.sizeBytes += JSON.stringify(body).length;
-    const isLate = this.#random.next() < this.lateShare;
-    await sleep(isLate ? LATE_MS * this.#random.next() : LATENCY_MS);
-    const isCut = this.cutVms.has(from) || this.cutVms.has(to);
-    if (isCut || this.#random.next() < this.lossShare) {
+    const isDelayed = this.#random.next() < this.delayRate;
+    await sleep(isDelayed ? MAX_DELAY_MS * this.#random.next() : LATENCY_MS);
+    const isIsolated = this.isolatedVms.has(from) || this.isolatedVms.has(to);
+    if (isIsolated || this.#random.next() < this.lossRate) {
       throw new Error('lost');
     }
   }
--- a/packages/routing/src/types.ts
+++ b/packages/routing/src/types.ts
@@ -1,18 +1,17 @@
-/** Requests and answers as the request path sees them. */
+/** Requests and answers as seen by the request path. */
 import type { Resource } from '@snipehaven/resources';
 import type { ChatBody } from './chatBody.js';
 import type { Refusal } from './refusal.js';
 
-/** Who calls. */
 export interface CallerIdentity {
   readonly team: Resource<'Team'>;
   readonly keyName: string;
 }
 
-/** What every request carries in its headers. */
+/** Options that every request carries in its headers. */
 export interface RequestOptions {
   readonly task: string;
-  /** 0 lowest to 9. */
+  /** From 0, the lowest, to 9. */
   readonly priority: number;
   readonly deadlineAtMs: number;
   readonly idempotencyKey?: string;
@@ -33,33 +32,33 @@
   readonly identity: CallerIdentity;
   readonly service: string;
   readonly method: string;
-  /** Path and query behind the service's name. */
+  /** Path and query after the service name. */
   readonly path: string;
   readonly contentType?: string;
   readonly body: Uint8Array;
   readonly options: RequestOptions;
 }
 
-/** Headers of an answer, beside its content type. */
+/** Response headers except the content type. */
 export type AnswerHeaders = Readonly<Record<string, string>>;
 
-/** Where an answer goes. */
+/** Receives the answer to a request. */
 export interface AnswerSink {
-  /** Aborts when the caller has gone away. */
+  /** Aborts when the caller disconnects. */
   readonly callerGone: AbortSignal;
   /** Starts a streamed answer. */
   begin(headers: AnswerHeaders): void;
-  /** Writes SSE events; a promise where the caller reads slowly. */
+  /** Writes SSE events; returns a promise if the caller reads slowly. */
   writeEvents(data: readonly string[]): Promise<void> | undefined;
-  /** Ends a streamed answer that is whole. */
+  /** Ends a complete streamed answer. */
   end(): void;
-  /** Sends a whole answer. */
+  /** Sends a complete answer. */
   send(
     status: number,
     contentType: string,
     body: string | Uint8Array,
     headers: AnswerHeaders,
   ): void;
-  /** Refuses, or ends a started stream with an honest error, never as if it were whole. */
+  /** Refuses the request, or ends a started stream with an error, never as if it were complete. */
   refuse(refusal: Refusal, headers: AnswerHeaders): void;
 }
--- a/packages/routing/src/upstreamEntry.ts
+++ b/packages/routing/src/upstreamEntry.ts
@@ -1,4 +1,4 @@
-/** What a daemon knows of one upstream, and what it has in flight there. */
+/** A daemon's view of one upstream and of its own requests in flight there. */
 import { asId, type DataCentreId, type Random, type UpstreamId } from '@snipehaven/common';
 import {
   adjustConcurrency,
@@ -16,20 +16,20 @@
 import type { Resource, UpstreamSpec } from '@snipehaven/resources';
 import type { EngineLoad } from '@snipehaven/upstream';
 
-const LATENCY_WEIGHT = 0.2;
+const LATENCY_SMOOTHING = 0.2;
 
-/** Where the word came from that an upstream is leaving. */
+/** The source that reports an upstream as leaving. */
 export type LeavingSource = 'vmList' | 'engine' | 'operator';
 
-/** Where the daemon and the upstream stand in the sorted lists of their data centre. */
+/** The positions of the daemon and the upstream in the sorted lists of their data centre. */
 export interface SlotPlace {
   readonly upstreamIndex: number;
   readonly daemonIndex: number;
   readonly daemonCount: number;
 }
 
-/** What an adaptive limit shrinks on. */
-const ROOM_OUTCOMES: ReadonlySet<OutcomeKind> = new Set(['refused', 'timedOut']);
+/** Outcomes that reduce the adaptive concurrency limit. */
+const OVERLOAD_OUTCOMES: ReadonlySet<OutcomeKind> = new Set(['refused', 'timedOut']);
 
 export class UpstreamEntry {
   readonly id: UpstreamId;
@@ -40,10 +40,10 @@
 
   #load: EngineLoad | undefined;
 
-  #loadAtMs = 0;
+  #loadReportedAtMs = 0;
 
-  /** When this daemon asked for the load that it knows, by the clock of the registry. */
-  #loadReadAtMs = -Infinity;
+  /** When this daemon requested the current load report, by the registry's clock. */
+  #loadRequestedAtMs = -Infinity;
 
   #inFlight = 0;
 
@@ -51,15 +51,15 @@
 
   #firstTokenMs = 0;
 
-  /** Follows an engine's batch; services report none, and keep what the operator declared. */
+  /** Follows the batch size of an engine; services report no load and keep the configured limit. */
   #concurrency: ConcurrencyState;
 
-  /** When each of the requests sent after the last load report went out. */
-  #sentAtMs: number[] = [];
+  /** Send times of the requests sent after the last load report. */
+  #sendTimesMs: number[] = [];
 
-  readonly #prefixes = new Set<string>();
+  readonly #cachedPrefixes = new Set<string>();
 
-  readonly #leaving = new Map<LeavingSource, number>();
+  readonly #leavingSinceBySource = new Map<LeavingSource, number>();
 
   constructor(resource: Resource<'Upstream'>, nowMs: number) {
     this.id = asId<UpstreamId>(resource.metadata.name);
@@ -76,7 +76,7 @@
     return this.#inFlight;
   }
 
-  /** When the last request went there; -Infinity: none did. */
+  /** When the last request was sent; -Infinity if none was. */
   get lastSentAtMs(): number {
     return this.#lastSentAtMs;
   }
@@ -89,14 +89,16 @@
     return this.#load;
   }
 
-  /** Since when it is known to leave; undefined: it stays. */
+  /** Since when the upstream is known to be leaving; undefined if it is not. */
   get leavingSinceMs(): number | undefined {
-    return this.#leaving.size === 0 ? undefined : Math.min(...this.#leaving.values());
+    return this.#leavingSinceBySource.size === 0
+      ? undefined
+      : Math.min(...this.#leavingSinceBySource.values());
   }
 
   /** Neither leaving nor ejected. */
   get isOpen(): boolean {
-    return this.#leaving.size === 0 && this.#health.ejectedUntilMs === 0;
+    return this.#leavingSinceBySource.size === 0 && this.#health.ejectedUntilMs === 0;
   }
 
   setSpec(spec: UpstreamSpec): void {
@@ -106,83 +108,88 @@
     this.#spec = spec;
   }
 
-  /** Versions that it serves, by its own word where it gave one. */
+  /**
+   * Uses the versions that the engine itself reported, if it did, instead of the configured ones.
+   */
   servesVersion(version: string): boolean {
     return (this.#load?.versions ?? this.#spec.versions).includes(version);
   }
 
-  /** Takes or takes back the word of one source that it is leaving. */
-  noteLeaving(source: LeavingSource, isLeaving: boolean, nowMs: number): void {
+  /** Sets or clears one source's report that the upstream is leaving. */
+  setLeaving(source: LeavingSource, isLeaving: boolean, nowMs: number): void {
     if (!isLeaving) {
-      this.#leaving.delete(source);
-    } else if (!this.#leaving.has(source)) {
-      this.#leaving.set(source, nowMs);
+      this.#leavingSinceBySource.delete(source);
+    } else if (!this.#leavingSinceBySource.has(source)) {
+      this.#leavingSinceBySource.set(source, nowMs);
     }
   }
 
-  /** When the known load was asked for; -Infinity: there is none. */
-  get loadReadAtMs(): number {
-    return this.#loadReadAtMs;
+  /** When the current load report was requested; -Infinity if there is none. */
+  get loadRequestedAtMs(): number {
+    return this.#loadRequestedAtMs;
   }
 
-  /** `askedAtMs` is of the registry's steady clock, unlike the report's own time. */
-  noteLoad(load: EngineLoad, askedAtMs: number): void {
-    this.#loadReadAtMs = askedAtMs;
+  /** `requestedAtMs` is a time of the registry's clock, unlike the time in the report. */
+  updateLoad(load: EngineLoad, requestedAtMs: number): void {
+    this.#loadRequestedAtMs = requestedAtMs;
     this.#load = load;
-    this.#loadAtMs = load.atMs;
-    this.#sentAtMs = this.#sentAtMs.filter((sentAtMs) => sentAtMs > load.atMs);
+    this.#loadReportedAtMs = load.atMs;
+    this.#sendTimesMs = this.#sendTimesMs.filter((sentAtMs) => sentAtMs > load.atMs);
   }
 
-  /** Forgets a report that no newer one will follow: by and by it would be wrong. */
-  forgetLoad(): void {
+  /** Drops a report that will not be followed by newer ones and would become outdated. */
+  clearLoad(): void {
     this.#load = undefined;
-    this.#loadAtMs = 0;
+    this.#loadReportedAtMs = 0;
   }
 
-  noteCacheEvent(kind: 'added' | 'evicted', prefix: string): void {
+  applyCacheEvent(kind: 'added' | 'evicted', prefix: string): void {
     if (kind === 'added') {
-      this.#prefixes.add(prefix);
+      this.#cachedPrefixes.add(prefix);
     } else {
-      this.#prefixes.delete(prefix);
+      this.#cachedPrefixes.delete(prefix);
     }
   }
 
-  /** Forgets what the cache holds, when events were missed. */
-  forgetPrefixes(): void {
-    this.#prefixes.clear();
+  /** Drops the known cache contents after cache events were missed. */
+  clearCachedPrefixes(): void {
+    this.#cachedPrefixes.clear();
   }
 
-  noteSent(nowMs: number): void {
+  recordSent(nowMs: number): void {
     this.#inFlight += 1;
     this.#lastSentAtMs = nowMs;
-    this.#sentAtMs.push(nowMs);
+    this.#sendTimesMs.push(nowMs);
   }
 
-  noteEnded(): void {
+  recordEnded(): void {
     this.#inFlight -= 1;
   }
 
-  noteFirstToken(firstTokenMs: number): void {
+  recordFirstToken(firstTokenMs: number): void {
     this.#firstTokenMs =
       this.#firstTokenMs === 0
         ? firstTokenMs
-        : this.#firstTokenMs + LATENCY_WEIGHT * (firstTokenMs - this.#firstTokenMs);
+        : this.#firstTokenMs + LATENCY_SMOOTHING * (firstTokenMs - this.#firstTokenMs);
     this.#adjustConcurrency(firstTokenMs, false);
   }
 
-  noteOutcome(
+  applyOutcome(
     outcome: OutcomeKind,
     pool: { readonly poolSize: number; readonly ejectedCount: number },
     nowMs: number,
     random: Random,
   ): void {
     this.#health = recordOutcome(this.#health, outcome, nowMs, { ...pool, random });
-    if (ROOM_OUTCOMES.has(outcome)) {
+    if (OVERLOAD_OUTCOMES.has(outcome)) {
       this.#adjustConcurrency(this.#firstTokenMs, true);
     }
   }
 
-  /** Without a place, as for other data centres' upstreams, the daemon has no slots of its own there. */
+  /**
+   * Without a place, as for upstreams of other data centres, the daemon has no slots of its own
+   * there.
+   */
   toView(prefixKey?: string, place?: SlotPlace): UpstreamView {
     const limit = Math.min(this.#spec.maxConcurrency, getMaxConcurrency(this.#concurrency));
     const ownSlots = place && assignOwnSlots({ limit, ...place });
@@ -190,29 +197,30 @@
       id: this.id,
       dataCentre: asId<DataCentreId>(this.#spec.dataCentre),
       inFlight: this.#inFlight,
-      sentSinceReport: Math.min(this.#sentAtMs.length, this.#inFlight),
+      sentSinceReport: Math.min(this.#sendTimesMs.length, this.#inFlight),
       reportedRunning: this.#load?.running ?? 0,
       reportedQueued: this.#load?.queued ?? 0,
-      reportAtMs: this.#loadAtMs,
+      reportAtMs: this.#loadReportedAtMs,
       maxConcurrency: limit,
       ...(ownSlots === undefined ? {} : { ownSlots }),
       firstTokenMs: this.#firstTokenMs,
       ejectedUntilMs: this.#health.ejectedUntilMs,
       slowStartSinceMs: this.#health.slowStartSinceMs,
-      isLeaving: this.#leaving.size > 0,
-      hasPrefixCached: prefixKey !== undefined && this.#prefixes.has(prefixKey),
+      isLeaving: this.#leavingSinceBySource.size > 0,
+      hasPrefixCached: prefixKey !== undefined && this.#cachedPrefixes.has(prefixKey),
     };
   }
 
   /**
-   * What goes wrong: a report of an idle engine, taken for none, leaves the limit to the times to the first
-   * token, which differ by prompt and by this daemon's own load. One notices a limit of a few requests at an
-   * engine without a queue. Nothing running tells nothing of the batch, and the limit stays.
+   * If the report of an idle engine were treated as no report, the limit would follow the times to
+   * first token, which vary with the prompt and with this daemon's own load, and an engine without
+   * a queue would end up with a limit of a few requests. While nothing is running, nothing is known
+   * about the batch, so the limit is not changed.
    */
   #adjustConcurrency(firstTokenMs: number, isRefused: boolean): void {
     const reportedRunning = this.#load?.running ?? 0;
-    const isTelling = isRefused || reportedRunning > 0;
-    if (this.#spec.type === 'engine' && isTelling) {
+    const isInformative = isRefused || reportedRunning > 0;
+    if (this.#spec.type === 'engine' && isInformative) {
       this.#concurrency = adjustConcurrency(this.#concurrency, {
         firstTokenMs,
         load: getKnownLoad(this.toView()),
--- a/packages/routing/src/upstreamFreshness.test.ts
+++ b/packages/routing/src/upstreamFreshness.test.ts
@@ -1,4 +1,4 @@
-/** New work after a freeze or a cut. */
+/** Choosing upstreams after a process pause or a network partition. */
 import FakeTimers, { type Clock } from '@sinonjs/fake-timers';
 import { asId, createRandom, setInvariantsFatal, type DataCentreId } from '@snipehaven/common';
 import type { ConfigurationView, Resource } from '@snipehaven/resources';
@@ -13,16 +13,16 @@
   clock: Clock;
   registry: UpstreamRegistry;
   leavingIds: Set<string>;
-  silentIds: Set<string>;
-  readings: string[];
+  unresponsiveIds: Set<string>;
+  loadReads: string[];
   vmListReads: number;
 }
 
 const VERSION = 'small@1';
-const FREEZE_MS = 10_000;
-/** Longer than the readings of both engines may take. */
+const PAUSE_MS = 10_000;
+/** Longer than the load reads of both engines may take. */
 const SETTLE_MS = 700;
-const WISH = { version: VERSION, excludedIds: [] };
+const QUERY = { version: VERSION, excludedIds: [] };
 
 const createUpstream = (name: string, type: string): Resource<'Upstream'> =>
   ({
@@ -39,29 +39,29 @@
 
 const test = suite<Context>('upstreamFreshness', {} as Context);
 
-/** No answer, and no error either. */
-const createEndless = (): Promise<void> =>
+/** A read that neither answers nor fails for a minute. */
+const createPendingRead = (): Promise<void> =>
   new Promise((resolve) => {
     setTimeout(resolve, 60_000);
   });
 
 const readLoad = async (context: Context, entry: UpstreamEntry): Promise<void> => {
-  const { registry, leavingIds, silentIds, readings } = context;
-  const askedAtMs = registry.freshness.nowMs;
-  readings.push(entry.id);
-  if (silentIds.has(entry.id)) {
-    await createEndless();
+  const { registry, leavingIds, unresponsiveIds, loadReads } = context;
+  const requestedAtMs = registry.freshness.nowMs;
+  loadReads.push(entry.id);
+  if (unresponsiveIds.has(entry.id)) {
+    await createPendingRead();
   }
   const leaving = leavingIds.has(entry.id);
   const load = { atMs: Date.now(), running: 0, queued: 0, kvUsedPct: 0, versions: [VERSION] };
-  registry.noteLoad(entry, { ...load, leaving }, askedAtMs);
+  registry.updateLoad(entry, { ...load, leaving }, requestedAtMs);
 };
 
 test.before.each((context) => {
   context.clock = FakeTimers.install({ now: 1_700_000_000_000 });
   context.leavingIds = new Set();
-  context.silentIds = new Set();
-  context.readings = [];
+  context.unresponsiveIds = new Set();
+  context.loadReads = [];
   context.vmListReads = 0;
   context.registry = new UpstreamRegistry({
     localDataCentre: asId<DataCentreId>('a'),
@@ -79,7 +79,7 @@
     readLoad: (entry) => readLoad(context, entry),
     readVmList: () => {
       context.vmListReads += 1;
-      return createEndless();
+      return createPendingRead();
     },
   });
 });
@@ -94,57 +94,54 @@
   return (await choice)?.entry.id;
 };
 
-test('an engine that began to leave during a freeze gets nothing', async (context) => {
-  // Symptom: an engine starts a run seconds after it said that it leaves.
-  // Sequence: the daemon is frozen, the engine begins to leave, the daemon wakes and sends.
-  // Cause: the last report was taken as good, however old.
-  const { registry, clock, leavingIds, readings } = context;
+test('an engine that began to leave during a process pause gets no requests', async (context) => {
+  // The daemon is paused, an engine begins to leave, and the daemon resumes. Trusting the last load
+  // report regardless of its age makes the engine start a run seconds after it announced its leave.
+  const { registry, clock, leavingIds, loadReads } = context;
   await Promise.all(['e1', 'e2'].map((id) => readLoad(context, registry.get(id) as UpstreamEntry)));
-  assert.ok(registry.choose(WISH));
+  assert.ok(registry.choose(QUERY));
   leavingIds.add('e1');
-  clock.jump(FREEZE_MS);
-  readings.length = 0;
-  const choices = Array.from({ length: 20 }, () => registry.chooseFresh(WISH));
+  clock.jump(PAUSE_MS);
+  loadReads.length = 0;
+  const choices = Array.from({ length: 20 }, () => registry.chooseFresh(QUERY));
   await clock.tickAsync(1_000);
   const chosen = await Promise.all(choices);
   assert.ok(chosen.every((one) => one?.entry.id === 'e2'));
-  assert.ok(readings.length <= 2, `${readings.length} readings, one for each engine`);
+  assert.ok(loadReads.length <= 2, `${loadReads.length} reads, one per engine`);
 });
 
-test('an answer that waited in the socket during the freeze is as old as its question', async (context) => {
-  // Symptom: the same.
-  // Sequence: the report was on its way when the freeze began, and is the first thing read after it.
-  // Cause: a report dated by when it was read.
+test('a response held in the socket during a pause is as old as its request', async (context) => {
+  // The same failure as above, with a report that was in flight when the pause began and is read
+  // first after it: dated by when it was read, it would look recent.
   const { registry, clock, leavingIds } = context;
   const entry = registry.get('e1') as UpstreamEntry;
-  const askedAtMs = registry.freshness.nowMs;
-  clock.jump(FREEZE_MS);
+  const requestedAtMs = registry.freshness.nowMs;
+  clock.jump(PAUSE_MS);
   leavingIds.add('e1').add('e2');
   const old = { running: 0, queued: 0, kvUsedPct: 0, versions: [VERSION], leaving: false };
-  registry.noteLoad(entry, { ...old, atMs: Date.now() }, askedAtMs);
-  assert.is(await settle(context, registry.chooseFresh(WISH)), undefined);
+  registry.updateLoad(entry, { ...old, atMs: Date.now() }, requestedAtMs);
+  assert.is(await settle(context, registry.chooseFresh(QUERY)), undefined);
 });
 
-test('an engine that does not answer is passed over, and not waited for again and again', async (context) => {
-  // Symptom: after a cut every request waits for the same dead engine.
-  // Sequence: its report is old, reading it anew takes all of the time allowed, for each request.
-  // Cause: a failed reading is not remembered.
-  const { registry, clock, silentIds, readings } = context;
-  silentIds.add('e1').add('e2');
-  assert.is(await settle(context, registry.chooseFresh(WISH)), undefined);
-  const before = readings.length;
-  assert.is(await settle(context, registry.chooseFresh(WISH)), undefined);
-  assert.is(readings.length, before, 'no new reading so soon');
-  silentIds.delete('e2');
+test('an unresponsive engine is skipped without being waited for again', async (context) => {
+  // After a partition the report of a dead engine is stale. If a failed read is not remembered,
+  // every request waits for that engine until the read times out.
+  const { registry, clock, unresponsiveIds, loadReads } = context;
+  unresponsiveIds.add('e1').add('e2');
+  assert.is(await settle(context, registry.chooseFresh(QUERY)), undefined);
+  const before = loadReads.length;
+  assert.is(await settle(context, registry.chooseFresh(QUERY)), undefined);
+  assert.is(loadReads.length, before, 'no new read before the retry delay');
+  unresponsiveIds.delete('e2');
   await clock.tickAsync(1_000);
-  assert.is(await settle(context, registry.chooseFresh(WISH)), 'e2');
-  assert.ok(readings.length - before <= 2);
+  assert.is(await settle(context, registry.chooseFresh(QUERY)), 'e2');
+  assert.ok(loadReads.length - before <= 2);
 });
 
-test('services go on while the VM list is away', async (context) => {
-  const wish = { service: 'filing', excludedIds: [] };
-  assert.is(await settle(context, context.registry.chooseFresh(wish)), 's1');
-  assert.is(await settle(context, context.registry.chooseFresh(wish)), 's1');
+test('services stay available while the VM list is unavailable', async (context) => {
+  const query = { service: 'filing', excludedIds: [] };
+  assert.is(await settle(context, context.registry.chooseFresh(query)), 's1');
+  assert.is(await settle(context, context.registry.chooseFresh(query)), 's1');
   assert.is(context.vmListReads, 1);
 });
 
--- a/packages/routing/src/upstreamFreshness.ts
+++ b/packages/routing/src/upstreamFreshness.ts
@@ -1,41 +1,46 @@
-/** Keeps new work from upstreams of which this daemon knows too little, after a freeze or a cut. */
+/**
+ * Withholds new work from upstreams whose state may be outdated after a process pause or a network
+ * partition.
+ */
 import { sleep } from '@snipehaven/common';
-import { createSteadyClock } from './teamShares/steadyClock.js';
+import { createSuspendAwareClock } from './teamShares/suspendAwareClock.js';
 import type { UpstreamEntry } from './upstreamEntry.js';
 
-/** Reads anew what is known of upstreams; rejects when there is no answer. */
+/** Reads the current state of upstreams; rejects if there is no response. */
 export interface UpstreamReader {
   readLoad(entry: UpstreamEntry): Promise<void>;
   readVmList(): Promise<void>;
 }
 
-/** Whether an upstream may be sent to. */
 export type Freshness = 'fresh' | 'unreachable';
 
-/** An engine takes new work on a load report that was read so long ago at most. */
+/** The maximum age of the load report on which an engine is sent new work. */
 const MAX_LOAD_AGE_MS = 2_500;
-/** Services on a VM list read so long ago; it is tried again no sooner. */
+/**
+ * The maximum age of the VM list for services; also the minimum interval between attempts to read
+ * it.
+ */
 const MAX_VM_LIST_AGE_MS = 5_000;
-/** How long a request waits for a reading. */
-const MAX_WAIT_MS = 300;
+/** How long a request waits for a read. */
+const READ_TIMEOUT_MS = 300;
 
-/** After a reading failed the next one begins no sooner, and requests do not wait. */
-const RETRY_MS = 1_000;
+/** After a failed read, the next one starts no sooner than this, and requests do not wait. */
+const RETRY_DELAY_MS = 1_000;
 
 export class UpstreamFreshness {
   readonly #onUnreachable: (entry: UpstreamEntry) => void;
 
-  readonly #getNowMs = createSteadyClock();
+  readonly #getNowMs = createSuspendAwareClock();
 
   #reader: UpstreamReader | undefined;
 
   #vmListReadAtMs = -Infinity;
 
-  #vmListTriedAtMs = -Infinity;
+  #vmListAttemptedAtMs = -Infinity;
 
-  #readingVmList: Promise<unknown> | undefined;
+  #pendingVmListRead: Promise<unknown> | undefined;
 
-  readonly #readingLoads = new Map<UpstreamEntry, Promise<Freshness>>();
+  readonly #pendingLoadReads = new Map<UpstreamEntry, Promise<Freshness>>();
 
   readonly #failedAtMs = new WeakMap<UpstreamEntry, number>();
 
@@ -47,57 +52,59 @@
     return this.#getNowMs();
   }
 
-  /** From now on stale upstreams are read before they are used. */
+  /** Enables reading of stale upstreams before they are used. */
   setReader(reader: UpstreamReader): void {
     this.#reader = reader;
   }
 
-  noteVmListRead(): void {
+  recordVmListRead(): void {
     this.#vmListReadAtMs = this.nowMs;
   }
 
   isStale(entry: UpstreamEntry): boolean {
-    const isRead = this.nowMs - entry.loadReadAtMs <= MAX_LOAD_AGE_MS;
-    return this.#reader !== undefined && entry.spec.type === 'engine' && !isRead;
+    const isRecent = this.nowMs - entry.loadRequestedAtMs <= MAX_LOAD_AGE_MS;
+    return this.#reader !== undefined && entry.spec.type === 'engine' && !isRecent;
   }
 
   /**
-   * What goes wrong: a daemon that was frozen or cut off wakes up with its old view, and sends requests to
-   * an engine that has been leaving for long. One notices runs that an engine started seconds after it said
-   * so. The last word of the engine must be young by a clock that goes on during a freeze; else it is asked
-   * once more, for all requests that wait. An engine that does not answer can't be given work either.
+   * A daemon that was paused or partitioned resumes with an outdated view and could send requests
+   * to an engine that has long been leaving, which shows as runs that an engine started seconds
+   * after it announced its leave. The engine's last report must therefore be recent by a clock that
+   * advances during a pause; otherwise it is requested once more, on behalf of all waiting
+   * requests. An engine that does not respond gets no work either.
    */
   refresh(entry: UpstreamEntry): Promise<Freshness> {
-    const present = this.#readingLoads.get(entry);
-    if (present) {
-      return present;
+    const existing = this.#pendingLoadReads.get(entry);
+    if (existing) {
+      return existing;
     }
-    const reading = this.#read(entry).finally(() => this.#readingLoads.delete(entry));
-    this.#readingLoads.set(entry, reading);
-    return reading;
+    const pendingRead = this.#read(entry).finally(() => this.#pendingLoadReads.delete(entry));
+    this.#pendingLoadReads.set(entry, pendingRead);
+    return pendingRead;
   }
 
   /**
-   * Services say nothing of themselves, so the VM list is read anew. While it is away the old one serves:
-   * a data centre that is cut off from the platform goes on with what it has.
+   * Services do not report their own state, so the VM list is read instead. If it is unavailable,
+   * the last one remains in use: a data centre cut off from the platform continues with what it
+   * has.
    */
   async refreshVmList(): Promise<void> {
     const { nowMs } = this;
     const isDue = nowMs - this.#vmListReadAtMs > MAX_VM_LIST_AGE_MS;
-    const isTried = nowMs - this.#vmListTriedAtMs <= MAX_VM_LIST_AGE_MS;
-    if (isDue && !isTried && this.#reader) {
-      this.#vmListTriedAtMs = nowMs;
-      this.#readingVmList = UpstreamFreshness.#wait(this.#reader.readVmList());
+    const wasAttemptedRecently = nowMs - this.#vmListAttemptedAtMs <= MAX_VM_LIST_AGE_MS;
+    if (isDue && !wasAttemptedRecently && this.#reader) {
+      this.#vmListAttemptedAtMs = nowMs;
+      this.#pendingVmListRead = UpstreamFreshness.#waitForRead(this.#reader.readVmList());
     }
-    await this.#readingVmList;
+    await this.#pendingVmListRead;
   }
 
   async #read(entry: UpstreamEntry): Promise<Freshness> {
     const failedAtMs = this.#failedAtMs.get(entry) ?? -Infinity;
-    if (this.#reader === undefined || this.nowMs - failedAtMs < RETRY_MS) {
+    if (this.#reader === undefined || this.nowMs - failedAtMs < RETRY_DELAY_MS) {
       return 'unreachable';
     }
-    await UpstreamFreshness.#wait(this.#reader.readLoad(entry));
+    await UpstreamFreshness.#waitForRead(this.#reader.readLoad(entry));
     if (!this.isStale(entry)) {
       return 'fresh';
     }
@@ -106,10 +113,10 @@
     return 'unreachable';
   }
 
-  static async #wait(reading: Promise<void>): Promise<void> {
+  static async #waitForRead(pendingRead: Promise<void>): Promise<void> {
     const timer = new AbortController();
-    const settled = reading.catch(() => undefined);
-    await Promise.race([settled, sleep(MAX_WAIT_MS, timer.signal)]);
+    const settled = pendingRead.catch(() => undefined);
+    await Promise.race([settled, sleep(READ_TIMEOUT_MS, timer.signal)]);
     timer.abort();
   }
 }
--- a/packages/routing/src/upstreamRegistry.test.ts
+++ b/packages/routing/src/upstreamRegistry.test.ts
@@ -1,4 +1,4 @@
-/** Room at upstreams as the registry gives it to choice and admission. */
+/** Upstream capacity as the registry reports it to upstream choice and admission. */
 import { asId, createRandom, setInvariantsFatal, type DataCentreId } from '@snipehaven/common';
 import type { ConfigurationView, Resource } from '@snipehaven/resources';
 import type { EngineLoad } from '@snipehaven/upstream';
@@ -47,44 +47,44 @@
   ...change,
 });
 
-test('daemons that sort the same lists share out all slots, and no slot twice', () => {
+test('daemons with the same lists divide all slots without overlap', () => {
   const orders = [ENGINES, [...ENGINES].reverse()];
-  const rooms = Array.from({ length: DAEMONS }, (_, index) =>
+  const concurrencyLimits = Array.from({ length: DAEMONS }, (_, index) =>
     createRegistry(index, orders[index % 2] ?? ENGINES).getMaxRunning(),
   );
-  // 21 slots over 5 daemons, each of which may take a burst of 3 besides what it has.
-  assert.equal([...rooms].sort(), [4, 4, 4, 4, 5]);
+  // 21 slots over 5 daemons, and a burst of 3 that each daemon may take in addition.
+  assert.equal([...concurrencyLimits].sort(), [4, 4, 4, 4, 5]);
 });
 
-test('a full batch lowers the limit, and with it admission', () => {
-  // Symptom: requests queue at an engine, out of the reach of this daemon's fair order.
-  // Sequence: the engine's batch is smaller than declared; its reports show a queue.
-  // Cause: admission counts on the declared limit.
+test('a full batch lowers the concurrency limit and thereby admission', () => {
+  // The engine's batch is smaller than configured and its reports show a queue. While admission
+  // relies on the configured limit, requests queue at the engine, where this daemon's fair queue
+  // cannot order them.
   const registry = createRegistry(0, ENGINES);
   const before = registry.getMaxRunning();
   registry.list().forEach((entry: UpstreamEntry) => {
-    registry.noteLoad(entry, createLoad({ running: 2, queued: 5 }), registry.freshness.nowMs);
-    Array.from({ length: 20 }, () => entry.noteFirstToken(100));
+    registry.updateLoad(entry, createLoad({ running: 2, queued: 5 }), registry.freshness.nowMs);
+    Array.from({ length: 20 }, () => entry.recordFirstToken(100));
   });
   assert.ok(registry.getMaxRunning() < before / 2, `${registry.getMaxRunning()} of ${before}`);
 });
 
-test('an idle engine keeps its limit however its times vary', () => {
-  // Symptom: an engine without a queue gets a few requests at a time, and the rest wait.
-  // Sequence: first tokens take 1 ms, then 20 ms, while its reports show nothing running.
-  // Cause: a report of nothing is taken for no report, and the times decide.
+test('an idle engine keeps its limit even if its latency varies', () => {
+  // First tokens take 1 ms and then 20 ms while the reports show nothing running. If such a report
+  // is treated as missing, latency alone decides, and an engine without a queue gets only a few
+  // requests at a time.
   const registry = createRegistry(0, ENGINES);
   const before = registry.getMaxRunning();
   registry.list().forEach((entry: UpstreamEntry) => {
-    registry.noteLoad(entry, createLoad({}), registry.freshness.nowMs);
-    Array.from({ length: 100 }, (_, index) => entry.noteFirstToken(index < 5 ? 1 : 20));
+    registry.updateLoad(entry, createLoad({}), registry.freshness.nowMs);
+    Array.from({ length: 100 }, (_, index) => entry.recordFirstToken(index < 5 ? 1 : 20));
   });
   assert.is(registry.getMaxRunning(), before);
 });
 
-test('with no upstream open here the room elsewhere counts', () => {
+test('without an open local upstream, remote capacity counts', () => {
   const registry = createRegistry(0, ENGINES);
-  ENGINES.forEach((id) => registry.noteLeaving(id, 'engine', true));
+  ENGINES.forEach((id) => registry.setLeaving(id, 'engine', true));
   assert.ok(registry.getMaxRunning() > 1);
 });
 
