--- a/packages/routing/src/upstreamRegistry.ts
+++ b/packages/routing/src/upstreamRegistry.ts
@@ -1,4 +1,4 @@
-/** All configured upstreams, and the choice among them. */
+/** The registry of all configured upstreams, and the choice among them. */
 import type { DataCentreId, Random, UpstreamId } from '@snipehaven/common';
 import {
   chooseUpstream,
@@ -21,19 +21,19 @@
   readonly localDataCentre: DataCentreId;
   readonly random: Random;
   readonly timeline: TimelineRecorder;
-  /** This daemon's place among those of the data centre, which send to the same upstreams. */
+  /** This daemon's position among the daemons of its data centre, which share its upstreams. */
   readonly getDaemonPlace: () => DaemonPlace;
 }
 
-/** A place in a sorted list that all daemons of the data centre share. */
+/** A position in a sorted list that is the same on all daemons of the data centre. */
 export interface DaemonPlace {
   readonly daemonIndex: number;
   readonly daemonCount: number;
 }
 
-/** What an attempt looks for. */
-export interface UpstreamWish {
-  /** Exactly one of the two is given. */
+/** The criteria of an attempt for choosing an upstream. */
+export interface UpstreamQuery {
+  /** Exactly one of `version` and `service` is set. */
   readonly version?: string;
   readonly service?: string;
   readonly sessionKey?: string;
@@ -46,7 +46,7 @@
   readonly reason: UpstreamChoiceReason;
 }
 
-/** Called when an upstream has refused a request before anything of it ran. */
+/** Called after an upstream refused a request without running any of it. */
 export type RefusalListener = (entry: UpstreamEntry) => void;
 
 const RATE_WINDOW_MS = 5_000;
@@ -58,10 +58,10 @@
 
   #entries = new Map<string, UpstreamEntry>();
 
-  /** Places of the own data centre's upstreams in the order of their ids. */
+  /** Positions of the local upstreams in order of their ids. */
   #upstreamIndexes = new Map<string, number>();
 
-  #prefixes: PrefixCounts = createPrefixCounts();
+  #prefixCounts: PrefixCounts = createPrefixCounts();
 
   readonly #refusalListeners = new Set<RefusalListener>();
 
@@ -75,7 +75,7 @@
     this.#options = options;
   }
 
-  /** Takes in a configuration: keeps what is known of upstreams that stay. */
+  /** Applies a configuration; keeps the state of upstreams whose URL did not change. */
   update(view: ConfigurationView): void {
     const nowMs = Date.now();
     const entries = new Map<string, UpstreamEntry>();
@@ -101,14 +101,14 @@
     return this.#entries.get(id);
   }
 
-  /** Whether any upstream serves the version, however busy. */
+  /** Whether any upstream that is not leaving serves the version, regardless of its load. */
   hasVersion(version: string): boolean {
     return this.list().some(
       (entry) => entry.leavingSinceMs === undefined && entry.servesVersion(version),
     );
   }
 
-  /** How many requests may run at once, by the room at the upstreams that they go to. */
+  /** How many requests may run at once, given the capacity of the upstreams. */
   getMaxRunning(): number {
     const { daemonCount } = this.#options.getDaemonPlace();
     const entries = this.list();
@@ -116,60 +116,61 @@
     return getMaxRunning(this.#toViews(local.length > 0 ? local : entries), daemonCount);
   }
 
-  choose(wish: UpstreamWish): ChosenUpstream | undefined {
+  choose(query: UpstreamQuery): ChosenUpstream | undefined {
     const nowMs = Date.now();
-    const { prefixKey, sessionKey } = wish;
+    const { prefixKey, sessionKey } = query;
     const choice = chooseUpstream({
-      upstreams: this.#toViews(this.#listServing(wish), prefixKey),
+      upstreams: this.#toViews(this.#listServing(query), prefixKey),
       ...(sessionKey === undefined ? {} : { sessionKey }),
       ...(prefixKey === undefined
         ? {}
-        : { prefixKey, prefixShare: this.#getPrefixShare(prefixKey, wish) }),
+        : { prefixKey, prefixShare: this.#getPrefixShare(prefixKey, query) }),
       localDataCentre: this.#options.localDataCentre,
       nowMs,
       random: this.#options.random,
-      excludedIds: wish.excludedIds,
+      excludedIds: query.excludedIds,
       daemonCount: this.#options.getDaemonPlace().daemonCount,
-      ownRequestsPerSecond: this.#countSent(nowMs),
+      ownRequestsPerSecond: this.#updateSendRate(nowMs),
     });
     const entry = choice && this.#entries.get(choice.upstream);
     return choice && entry ? { entry, reason: choice.reason } : undefined;
   }
 
   /**
-   * The same among what this daemon knows enough of: a choice whose load report is too old is read anew.
-   * One that is leaving, or does not answer, is passed over.
+   * Like `choose`, but a stale load report is read again before its engine is used. Engines that
+   * are leaving or do not respond are skipped.
    */
-  async chooseFresh(wish: UpstreamWish): Promise<ChosenUpstream | undefined> {
-    if (wish.version === undefined) {
+  async chooseFresh(query: UpstreamQuery): Promise<ChosenUpstream | undefined> {
+    if (query.version === undefined) {
       await this.freshness.refreshVmList();
     }
     const unreachableIds: UpstreamId[] = [];
     for (;;) {
-      const excludedIds = [...wish.excludedIds, ...unreachableIds];
-      const chosen = this.choose({ ...wish, excludedIds });
+      const excludedIds = [...query.excludedIds, ...unreachableIds];
+      const chosen = this.choose({ ...query, excludedIds });
       if (chosen === undefined || !this.freshness.isStale(chosen.entry)) {
         return chosen;
       }
       const { entry } = chosen;
       if ((await this.freshness.refresh(entry)) === 'unreachable') {
         unreachableIds.push(entry.id);
-      } else if (entry.isOpen && this.#listServing(wish).includes(entry)) {
+      } else if (entry.isOpen && this.#listServing(query).includes(entry)) {
         return chosen;
       }
     }
   }
 
   /**
-   * Takes in an engine's load report, by when it was asked for: an answer that was in the socket while the
-   * process was frozen is as old as its question, and one overtaken by a later one tells nothing.
+   * Applies an engine's load report, dated by when it was requested: a response that was in the
+   * socket buffer while the process was paused is as old as its request. A report that was
+   * overtaken by a later one is ignored.
    */
-  noteLoad(entry: UpstreamEntry, load: EngineLoad, askedAtMs: number): void {
-    if (askedAtMs < entry.loadReadAtMs) {
+  updateLoad(entry: UpstreamEntry, load: EngineLoad, requestedAtMs: number): void {
+    if (requestedAtMs < entry.loadRequestedAtMs) {
       return;
     }
-    entry.noteLoad(load, askedAtMs);
-    this.noteLeaving(entry.id, 'engine', load.leaving);
+    entry.updateLoad(load, requestedAtMs);
+    this.setLeaving(entry.id, 'engine', load.leaving);
   }
 
   recordOutcome(entry: UpstreamEntry, outcome: OutcomeKind): void {
@@ -178,8 +179,8 @@
     const ejectedCount = pool.filter(
       (other) => other !== entry && other.health.ejectedUntilMs !== 0,
     ).length;
-    const situation = { poolSize: pool.length, ejectedCount };
-    entry.noteOutcome(outcome, situation, Date.now(), this.#options.random);
+    const poolStatus = { poolSize: pool.length, ejectedCount };
+    entry.applyOutcome(outcome, poolStatus, Date.now(), this.#options.random);
     const isEjected = entry.health.ejectedUntilMs !== 0;
     if (isEjected !== wasEjected) {
       const type = isEjected ? 'upstreamEjected' : 'upstreamReturned';
@@ -190,17 +191,17 @@
     }
   }
 
-  /** Adds a listener; returns the function that removes it. */
+  /** Adds a listener; returns a function that removes it. */
   onRefusal(listener: RefusalListener): () => void {
     this.#refusalListeners.add(listener);
     return () => this.#refusalListeners.delete(listener);
   }
 
-  /** Takes the word of a source that an upstream is leaving, or is not. */
-  noteLeaving(id: string, source: LeavingSource, isLeaving: boolean): void {
+  /** Sets or clears one source's report that an upstream is leaving. */
+  setLeaving(id: string, source: LeavingSource, isLeaving: boolean): void {
     const entry = this.#entries.get(id);
     const wasLeaving = entry?.leavingSinceMs !== undefined;
-    entry?.noteLeaving(source, isLeaving, Date.now());
+    entry?.setLeaving(source, isLeaving, Date.now());
     if (entry && !wasLeaving && entry.leavingSinceMs !== undefined) {
       this.#options.timeline.record('upstreamLeaving', { upstream: id }, { source });
     }
@@ -221,18 +222,18 @@
   }
 
   /** Counts each request once, at its first attempt. */
-  #getPrefixShare(prefixKey: string, { excludedIds }: UpstreamWish): number {
+  #getPrefixShare(prefixKey: string, { excludedIds }: UpstreamQuery): number {
     if (excludedIds.length === 0) {
-      this.#prefixes = countPrefix(this.#prefixes, prefixKey);
+      this.#prefixCounts = countPrefix(this.#prefixCounts, prefixKey);
     }
-    return getPrefixShare(this.#prefixes, prefixKey);
+    return getPrefixShare(this.#prefixCounts, prefixKey);
   }
 
-  #listServing(wish: UpstreamWish): readonly UpstreamEntry[] {
+  #listServing(query: UpstreamQuery): readonly UpstreamEntry[] {
     return this.list().filter((entry) =>
-      wish.version === undefined
-        ? entry.spec.type === 'service' && entry.spec.service === wish.service
-        : entry.spec.type === 'engine' && entry.servesVersion(wish.version),
+      query.version === undefined
+        ? entry.spec.type === 'service' && entry.spec.service === query.service
+        : entry.spec.type === 'engine' && entry.servesVersion(query.version),
     );
   }
 
@@ -245,8 +246,8 @@
     );
   }
 
-  /** Requests per second over the last window. */
-  #countSent(nowMs: number): number {
+  /** Counts a request; returns the requests per second over the last window. */
+  #updateSendRate(nowMs: number): number {
     this.#sentInWindow += 1;
     const elapsedMs = nowMs - this.#windowStartedAtMs;
     if (elapsedMs >= RATE_WINDOW_MS) {
--- a/packages/routing/src/upstreamWatcher.test.ts
+++ b/packages/routing/src/upstreamWatcher.test.ts
@@ -23,8 +23,8 @@
 const VERSION = 'small@1';
 const REMOTE_URL = 'http://127.0.0.2:1';
 
-/** A local and a remote engine, watched over fakes on a fake clock. */
-class WatchedWorld {
+/** A watcher with one local and one remote engine, over fakes and a fake clock. */
+class WatcherFixture {
   readonly registry = new UpstreamRegistry({
     localDataCentre: asId<DataCentreId>('dc-1'),
     random: createRandom(1),
@@ -32,7 +32,7 @@
     getDaemonPlace: () => ({ daemonIndex: 0, daemonCount: 1 }),
   });
 
-  readonly asked: string[] = [];
+  readonly polledUrls: string[] = [];
 
   isLeaving = false;
 
@@ -70,19 +70,19 @@
     return entry;
   }
 
-  /** What is chosen when the local engine cannot be. */
+  /** The upstream chosen when the local engine is excluded. */
   chooseRemote(): string | undefined {
     const excludedIds = [asId<UpstreamId>('local')];
     return this.registry.choose({ version: VERSION, excludedIds })?.entry.id;
   }
 
-  countAsked(url: string): number {
-    return this.asked.filter((other) => other === url).length;
+  countPolls(url: string): number {
+    return this.polledUrls.filter((other) => other === url).length;
   }
 
-  use(): void {
-    this.remote.noteSent(Date.now());
-    this.remote.noteEnded();
+  sendToRemote(): void {
+    this.remote.recordSent(Date.now());
+    this.remote.recordEnded();
   }
 
   stop(): void {
@@ -90,7 +90,7 @@
   }
 
   #getLoad(url: string): EngineLoad {
-    this.asked.push(url);
+    this.polledUrls.push(url);
     const leaving = this.isLeaving && url === REMOTE_URL;
     const { versions } = this;
     return { atMs: Date.now(), running: 0, queued: 0, kvUsedPct: 0, versions, leaving };
@@ -99,83 +99,81 @@
 
 const test = suite('upstreamWatcher');
 let clock: Clock;
-let world: WatchedWorld;
+let fixture: WatcherFixture;
 
 test.before.each(() => {
   clock = install({ now: 1_000_000 });
-  world = new WatchedWorld();
+  fixture = new WatcherFixture();
 });
 
 test.after.each(() => {
-  world.stop();
+  fixture.stop();
   clock.uninstall();
 });
 
-test('asks engines of other data centres only while it uses them', async () => {
+test('polls engines of other data centres only while using them', async () => {
   await clock.tickAsync(LONG_MS);
-  assert.is(world.countAsked(REMOTE_URL), 0);
-  assert.ok(world.asked.length > LONG_MS / INTERVAL_MS / 2);
-  world.use();
+  assert.is(fixture.countPolls(REMOTE_URL), 0);
+  assert.ok(fixture.polledUrls.length > LONG_MS / INTERVAL_MS / 2);
+  fixture.sendToRemote();
   await clock.tickAsync(3 * INTERVAL_MS);
-  assert.ok(world.countAsked(REMOTE_URL) > 0);
+  assert.ok(fixture.countPolls(REMOTE_URL) > 0);
   await clock.tickAsync(LONG_MS);
-  const asked = world.countAsked(REMOTE_URL);
+  const asked = fixture.countPolls(REMOTE_URL);
   await clock.tickAsync(LONG_MS);
-  assert.is(world.countAsked(REMOTE_URL), asked);
+  assert.is(fixture.countPolls(REMOTE_URL), asked);
 });
 
-test('finds out by itself that a remote engine in use leaves, and that it stays', async () => {
-  // Symptom: an engine starts runs long after it began to leave.
-  // Sequence: requests spill to another data centre; an engine there begins to leave.
-  // Cause: its own word is heard in its data centre only, and the VM list lags.
-  assert.is(world.chooseRemote(), 'remote');
-  world.use();
-  world.isLeaving = true;
+test('detects by polling that a remote engine in use is leaving, and that it stays after all', async () => {
+  // Requests spill over to another data centre, and an engine there begins to leave. Its
+  // announcement is seen only in its own data centre and the VM list lags behind, so it would start
+  // runs long after.
+  assert.is(fixture.chooseRemote(), 'remote');
+  fixture.sendToRemote();
+  fixture.isLeaving = true;
   await clock.tickAsync(3 * INTERVAL_MS);
-  assert.is(world.chooseRemote(), undefined);
+  assert.is(fixture.chooseRemote(), undefined);
   await clock.tickAsync(LONG_MS);
-  assert.is(world.chooseRemote(), undefined, 'its word holds without new requests');
-  world.isLeaving = false;
+  assert.is(fixture.chooseRemote(), undefined, 'its report holds without new requests');
+  fixture.isLeaving = false;
   await clock.tickAsync(3 * INTERVAL_MS);
-  assert.is(world.chooseRemote(), 'remote');
+  assert.is(fixture.chooseRemote(), 'remote');
 });
 
-test('asks an engine at once that has refused a request', async () => {
-  world.isLeaving = true;
-  world.registry.recordOutcome(world.remote, 'refused');
+test('immediately polls an engine that refused a request', async () => {
+  fixture.isLeaving = true;
+  fixture.registry.recordOutcome(fixture.remote, 'refused');
   await clock.tickAsync(0);
-  assert.is(world.countAsked(REMOTE_URL), 1);
-  assert.is(world.chooseRemote(), undefined);
+  assert.is(fixture.countPolls(REMOTE_URL), 1);
+  assert.is(fixture.chooseRemote(), undefined);
 });
 
-test('counts the first word of either source, until both have taken it back', async () => {
-  // Symptom: a leaving engine gets work again.
-  // Sequence: one source says that it leaves, the other one does not know of it yet.
-  // Cause: the later word overrides the earlier one.
+test('treats an upstream as leaving from the first report until both sources revoke it', async () => {
+  // One source reports that an engine is leaving while the other does not know yet. If the later
+  // report overrides the earlier one, the leaving engine gets work again.
   const vm = { name: 'r', role: 'upstream', dataCentre: 'dc-2', address: '127.0.0.2:1' } as const;
-  world.vms = [{ ...vm, state: 'leaving' }];
-  world.use();
+  fixture.vms = [{ ...vm, state: 'leaving' }];
+  fixture.sendToRemote();
   await clock.tickAsync(3 * INTERVAL_MS);
-  const sinceMs = world.remote.leavingSinceMs;
-  assert.is(world.chooseRemote(), undefined);
-  world.isLeaving = true;
+  const sinceMs = fixture.remote.leavingSinceMs;
+  assert.is(fixture.chooseRemote(), undefined);
+  fixture.isLeaving = true;
   await clock.tickAsync(3 * INTERVAL_MS);
-  assert.is(world.remote.leavingSinceMs, sinceMs);
-  world.vms = [{ ...vm, state: 'live' }];
+  assert.is(fixture.remote.leavingSinceMs, sinceMs);
+  fixture.vms = [{ ...vm, state: 'live' }];
   await clock.tickAsync(3 * INTERVAL_MS);
-  assert.is(world.chooseRemote(), undefined);
+  assert.is(fixture.chooseRemote(), undefined);
 });
 
-test('does not go by the old report of an engine that is asked no more', async () => {
-  // Symptom: a version that an engine has loaded since gets no request there.
-  // Sequence: a remote engine is used, then not for a while; meanwhile it loads another version.
-  // Cause: its last report says what it served, and nobody asks again as nothing is sent.
-  world.versions = ['other@1'];
-  world.use();
+test('does not use the last report of an engine that is no longer polled', async () => {
+  // A remote engine is used, then idle, and loads another version meanwhile. Its last report lists
+  // the old versions, so nothing is sent to it and no new report is requested.
+  fixture.versions = ['other@1'];
+  fixture.sendToRemote();
   await clock.tickAsync(3 * INTERVAL_MS);
-  assert.is(world.chooseRemote(), undefined);
+  assert.is(fixture.chooseRemote(), undefined);
   await clock.tickAsync(LONG_MS);
-  assert.is(world.chooseRemote(), 'remote');
+  assert.is(fixture.chooseRemote(), 'remote');
 });
 
 test.run();
--- a/packages/routing/src/usageAccount.ts
+++ b/packages/routing/src/usageAccount.ts
@@ -1,4 +1,4 @@
-/** The one usage record of one request, through its runs to its settlement. */
+/** The usage record of one request, from its first run to settlement. */
 import { invariant } from '@snipehaven/common';
 import type { UsageLedger } from '@snipehaven/ledger';
 import type { UsageEntry, UsageLine, UsageStream } from '@snipehaven/protocol';
@@ -6,7 +6,7 @@
 import type { TokenUsage } from './answerAssembler.js';
 import { TOKENS_PER_PRICE_UNIT } from './constants.js';
 
-/** What the record says of the request. */
+/** The fields of the record that identify the request. */
 export interface AccountSubject {
   readonly requestId: string;
   readonly requestKey: string;
@@ -14,7 +14,7 @@
   readonly teamUid: string;
 }
 
-/** What tokens of a version cost. */
+/** The price of a run's tokens at the rates of its version. */
 export const getCostMicroUsd = (
   usage: TokenUsage,
   prices: Pick<
@@ -33,7 +33,7 @@
 
   readonly #lines: UsageLine[] = [];
 
-  #held: Promise<void> | undefined;
+  #replication: Promise<void> | undefined;
 
   #isClosed = false;
 
@@ -47,27 +47,27 @@
   }
 
   get isOpen(): boolean {
-    return this.#held !== undefined && !this.#isClosed;
+    return this.#replication !== undefined && !this.#isClosed;
   }
 
   /**
-   * Notes a run before it is dispatched. Rejects at once when the ledger is full; the copy on a peer
-   * is made while the run starts, see `ensureHeld`.
+   * Records a run before it is dispatched. Rejects immediately if the ledger is full; the record is
+   * replicated to a peer while the run starts, see `ensureReplicated`.
    */
-  async noteRun(stream: UsageStream): Promise<void> {
-    const held =
-      this.#held === undefined
+  async recordRun(stream: UsageStream): Promise<void> {
+    const pending =
+      this.#replication === undefined
         ? this.#ledger.open({ ...this.#subject, openedAtMs: Date.now(), streams: [stream] })
         : this.#ledger.addStream(this.#subject.requestId, stream);
-    held.catch(() => undefined);
-    this.#held = Promise.all([this.#held, held]).then(() => undefined);
-    this.#held.catch(() => undefined);
-    await Promise.race([held, Promise.resolve()]);
+    pending.catch(() => undefined);
+    this.#replication = Promise.all([this.#replication, pending]).then(() => undefined);
+    this.#replication.catch(() => undefined);
+    await Promise.race([pending, Promise.resolve()]);
   }
 
-  /** Resolves when a peer holds the record: no byte of an answer is released before. */
-  async ensureHeld(): Promise<void> {
-    await this.#held;
+  /** Resolves when a peer holds the record; no byte of an answer is sent before. */
+  async ensureReplicated(): Promise<void> {
+    await this.#replication;
   }
 
   addLine(stream: UsageStream, usage: TokenUsage): void {
@@ -88,7 +88,7 @@
     await this.#ledger.settle(this.#subject.requestId, { outcome, lines: this.#lines });
   }
 
-  /** Forgets the record of a request that is proved not to have run. */
+  /** Drops the record of a request that is proved not to have run. */
   discard(): void {
     this.#isClosed = true;
     this.#ledger.discard(this.#subject.requestId);
