--- a/packages/sessions/src/choosePin.ts
+++ b/packages/sessions/src/choosePin.ts
@@ -1,4 +1,4 @@
-/** Which of two pins of one session is in force. */
+/** Decides which of two pins of one session is in force. */
 import type { Pin } from './types.js';
 
 const compareText = (a: string, b: string): number => {
@@ -9,8 +9,8 @@
 };
 
 /**
- * Orders pins of one session, the one in force first: the higher generation, then the earlier start,
- * then the lower version. A total order, so that holders that merge in any order end with the same pin.
+ * Orders pins of one session by precedence: higher generation, then earlier start, then lower
+ * version. The order is total, so holders that merge pins in any order end with the same pin.
  */
 export const comparePins = (a: Pin, b: Pin): number =>
   b.generation - a.generation ||
@@ -18,7 +18,7 @@
   compareText(a.version, b.version) ||
   compareText(a.model, b.model);
 
-/** The pin in force of those that two holders know. */
+/** The pin in force of two that different holders know. */
 export const mergePins = (a: Pin | undefined, b: Pin | undefined): Pin | undefined => {
   if (!a || !b) {
     return a ?? b;
@@ -27,9 +27,9 @@
 };
 
 /**
- * The pin in force when a request offers one to the session's owner. Of equal generation the one that
- * the owner already answered with stays, whatever the clocks of the daemons said: replacing it would
- * move a session whose first answer is on its way.
+ * The pin in force when a request offers a pin to the session's owner. Of equal generations the
+ * owner's present pin stays, even if the daemons' clocks say otherwise: the owner has already
+ * answered with it, and replacing it would move a session whose first answer is in progress.
  */
-export const acceptOffer = (present: Pin | undefined, offered: Pin): Pin =>
+export const resolveOffer = (present: Pin | undefined, offered: Pin): Pin =>
   present && present.generation >= offered.generation ? present : offered;
--- a/packages/sessions/src/constants.ts
+++ b/packages/sessions/src/constants.ts
@@ -1,4 +1,4 @@
-/** Names and default bounds of sessions. */
+/** Names and default limits of sessions. */
 import type { PinSettings } from './types.js';
 
 export const PIN_PREFIX = 'pin/';
@@ -8,7 +8,7 @@
 
 export const DEFAULT_TOKEN_LIFETIME_MS = 7 * DAY_MS;
 
-/** Longer tokens are refused unread. */
+/** Longer tokens are rejected without being decoded. */
 export const MAX_TOKEN_CHARS = 1_024;
 
 export const DEFAULT_PIN_SETTINGS: PinSettings = {
@@ -19,15 +19,15 @@
   flushIntervalMs: 1_000,
   maxTableWritesPerSecond: 60,
   maxRowsPerFlush: 16,
-  tableWaitMs: 250,
-  tableRetryMs: 5_000,
-  peerWaitMs: 300,
-  missFreshMs: 1_000,
-  replicaWaitMs: 150,
-  changeFreshMs: 60_000,
-  patientTableWaitMs: 1_500,
-  patientPeerWaitMs: 2_000,
+  tableTimeoutMs: 250,
+  tableRetryDelayMs: 5_000,
+  peerTimeoutMs: 300,
+  missTtlMs: 1_000,
+  replicaTimeoutMs: 150,
+  membershipChangeWindowMs: 60_000,
+  extendedTableTimeoutMs: 1_500,
+  extendedPeerTimeoutMs: 2_000,
 };
 
-/** Look-ups that found nothing, remembered for a moment. */
-export const MAX_RECENT_MISSES = 1_000;
+/** Maximum number of unsuccessful look-ups that are cached. */
+export const MAX_CACHED_MISSES = 1_000;
--- a/packages/sessions/src/errors.ts
+++ b/packages/sessions/src/errors.ts
@@ -1,4 +1,3 @@
-/** Errors of sessions. */
 import { SnipehavenError } from '@snipehaven/common';
 
 /** A signing key is unusable. */
--- a/packages/sessions/src/hmacSessionTokens.test.ts
+++ b/packages/sessions/src/hmacSessionTokens.test.ts
@@ -23,18 +23,18 @@
   generation: 2,
 };
 
-tokens('a token keeps its pin, for its team, until it expires', ({ clock }) => {
+tokens('a token returns its pin, only for its team, until it expires', ({ clock }) => {
   const signer = new HmacSessionTokens({ currentKey: oldKey, tokenLifetimeMs: 1_000 });
   const token = signer.issue(pin);
   assert.match(token, /^[\w.-]+$/);
   assert.equal(signer.verify(token), pin);
   assert.equal(signer.verify(token, pin.teamUid), pin);
-  assert.is(signer.verify(token, 'team-uid-2'), undefined, 'of a team made anew under the name');
+  assert.is(signer.verify(token, 'team-uid-2'), undefined, 'a team recreated under the same name');
   clock.tick(1_000);
   assert.is(signer.verify(token), undefined);
 });
 
-tokens('keys rotate: the previous one is honoured, older and unknown ones are not', () => {
+tokens('key rotation: the previous key is accepted, older and unknown keys are not', () => {
   const before = new HmacSessionTokens({ currentKey: oldKey });
   const during = new HmacSessionTokens({ currentKey: newKey, previousKey: oldKey });
   const after = new HmacSessionTokens({ currentKey: newKey });
@@ -47,7 +47,7 @@
   assert.throws(() => new HmacSessionTokens({ currentKey: short }), /shorter than/);
 });
 
-tokens('forged, truncated and odd tokens are refused', () => {
+tokens('forged, truncated and malformed tokens are rejected', () => {
   const signer = new HmacSessionTokens({ currentKey: oldKey });
   const token = signer.issue(pin);
   const [text, mac] = token.split('.') as [string, string];
@@ -64,11 +64,11 @@
     assert.is(signer.verify(cut), undefined),
   );
   ['', '.', '..', `${token}.`, `${token}A`, ` ${token}`, `${text}.`, 'A'.repeat(10_000)].forEach(
-    (odd) => assert.is(signer.verify(odd), undefined),
+    (malformed) => assert.is(signer.verify(malformed), undefined),
   );
 });
 
-tokens('a pin holds against all but a withdrawal and a lost permission', () => {
+tokens('only a withdrawal or a revoked permission overrides a pin', () => {
   const decide = (isAllowed: boolean, isBlocked: boolean): string => {
     const decision = decideSessionVersion({
       pin,
--- a/packages/sessions/src/hmacSessionTokens.ts
+++ b/packages/sessions/src/hmacSessionTokens.ts
@@ -1,4 +1,4 @@
-/** Session tokens signed by HMAC-SHA256: the pin travels with the caller, daemons keep nothing. */
+/** Session tokens signed with HMAC-SHA256. The token contains the pin, so daemons keep no state. */
 import { createHmac, timingSafeEqual } from 'node:crypto';
 import { z } from 'zod';
 import { DEFAULT_TOKEN_LIFETIME_MS, MAX_TOKEN_CHARS } from './constants.js';
@@ -7,17 +7,17 @@
 
 export interface HmacSessionTokensOptions {
   readonly currentKey: SessionKey;
-  /** Still honoured after a rotation, no longer used for signing. */
+  /** Still accepted after a key rotation, but no longer used for signing. */
   readonly previousKey?: SessionKey;
   readonly tokenLifetimeMs?: number;
 }
 
-const FORMAT = 1;
+const TOKEN_FORMAT = 1;
 const MIN_SECRET_BYTES = 16;
 
 /** Format, key id, team uid, session, model, version, start, generation, expiry. */
 const payloadSchema = z.tuple([
-  z.literal(FORMAT),
+  z.literal(TOKEN_FORMAT),
   z.string(),
   z.string().min(1),
   z.string(),
@@ -47,7 +47,7 @@
 const sign = (key: SessionKey, text: string): Buffer =>
   createHmac('sha256', key.secret).update(text).digest();
 
-const checkKey = (key: SessionKey): SessionKey => {
+const validateKey = (key: SessionKey): SessionKey => {
   if (Buffer.byteLength(key.secret) < MIN_SECRET_BYTES) {
     throw new SessionKeyError(`key ${key.id} is shorter than ${MIN_SECRET_BYTES} bytes`);
   }
@@ -61,17 +61,17 @@
 
   readonly #lifetimeMs: number;
 
-  /** Throws `SessionKeyError` for a short secret. */
+  /** Throws `SessionKeyError` if a secret is too short. */
   constructor(options: HmacSessionTokensOptions) {
-    this.#currentKey = checkKey(options.currentKey);
-    const previous = options.previousKey ? [checkKey(options.previousKey)] : [];
+    this.#currentKey = validateKey(options.currentKey);
+    const previous = options.previousKey ? [validateKey(options.previousKey)] : [];
     this.#keys = [this.#currentKey, ...previous];
     this.#lifetimeMs = options.tokenLifetimeMs ?? DEFAULT_TOKEN_LIFETIME_MS;
   }
 
   issue(pin: Pin): string {
     const text = encodePayload([
-      FORMAT,
+      TOKEN_FORMAT,
       this.#currentKey.id,
       pin.teamUid,
       pin.session,
@@ -85,7 +85,7 @@
   }
 
   verify(token: string, teamUid?: string): Pin | undefined {
-    const payload = this.#open(token);
+    const payload = this.#decodeGenuine(token);
     if (!payload) {
       return undefined;
     }
@@ -97,8 +97,11 @@
       : undefined;
   }
 
-  /** The payload of a genuine token; nothing of a forged one is looked at but its key's id. */
-  #open(token: string): Payload | undefined {
+  /**
+   * The payload of a token with a valid signature; before the signature is verified, only the key
+   * id of the payload is used.
+   */
+  #decodeGenuine(token: string): Payload | undefined {
     const [, text, mac] = token.length <= MAX_TOKEN_CHARS ? (TOKEN_PATTERN.exec(token) ?? []) : [];
     const payload = text ? decodePayload(text) : undefined;
     const key = this.#keys.find(({ id }) => id === payload?.[1]);
--- a/packages/sessions/src/pinMemory.ts
+++ b/packages/sessions/src/pinCache.ts
@@ -1,15 +1,15 @@
-/** The pins that one daemon holds: bounded, least recently used first to go. */
+/** The pins in the memory of one daemon, limited in number with least-recently-used eviction. */
 import { mergePins } from './choosePin.js';
 import { getBucket, getSessionKey, toPin, type PinsByKey, type StoredPin } from './pinRow.js';
 import type { Pin, PinSettings } from './types.js';
 
-export class PinMemory {
+export class PinCache {
   readonly #settings: Pick<PinSettings, 'maxPins' | 'pinLifetimeMs' | 'bucketCount'>;
 
-  /** In order of last use. */
+  /** In order of last use, oldest first. */
   readonly #pins = new Map<string, StoredPin>();
 
-  /** Which incarnation holds a copy of the pin as it is now. */
+  /** The incarnation that holds a copy of the current pin, by session key. */
   readonly #copyHolders = new Map<string, string>();
 
   readonly #keysByBucket = new Map<number, Set<string>>();
@@ -22,7 +22,7 @@
     return this.#pins.size;
   }
 
-  /** The session's pin, which counts as used now. */
+  /** Returns the session's pin and marks it as used now. */
   use(key: string): StoredPin | undefined {
     const present = this.#pins.get(key);
     if (!present || present.usedAtMs + this.#settings.pinLifetimeMs <= Date.now()) {
@@ -38,22 +38,21 @@
     return this.#copyHolders.get(key) === incarnation;
   }
 
-  noteCopy(key: string, incarnation: string): void {
+  recordCopy(key: string, incarnation: string): void {
     if (this.#pins.has(key)) {
       this.#copyHolders.set(key, incarnation);
     }
   }
 
-  /** Replaces the session's pin. */
   set(pin: Pin, usedAtMs: number): void {
     const key = getSessionKey(pin.teamUid, pin.session);
     this.#delete(key);
     this.#pins.set(key, { ...pin, usedAtMs });
-    this.#getKeys(key).add(key);
-    this.#dropOldest();
+    this.#getBucketKeys(key).add(key);
+    this.#evictOldest();
   }
 
-  /** Takes in what another holder knows; returns the pin in force. */
+  /** Merges a pin known to another holder; returns the pin in force. */
   merge(pin: Pin, usedAtMs: number): Pin {
     const present = this.#pins.get(getSessionKey(pin.teamUid, pin.session));
     const inForce = mergePins(present, pin) ?? pin;
@@ -73,7 +72,7 @@
     return new Map(keys.map((key) => [key, this.#pins.get(key) as StoredPin]));
   }
 
-  /** Forgets pins past their lifetime; looks only at the least recently used ones. */
+  /** Removes expired pins; stops at the first pin that is not, as pins are in order of last use. */
   dropExpired(nowMs: number): void {
     for (const [key, pin] of this.#pins) {
       if (pin.usedAtMs + this.#settings.pinLifetimeMs > nowMs) {
@@ -83,14 +82,14 @@
     }
   }
 
-  #getKeys(key: string): Set<string> {
+  #getBucketKeys(key: string): Set<string> {
     const bucket = getBucket(key, this.#settings.bucketCount);
     const keys = this.#keysByBucket.get(bucket) ?? new Set();
     this.#keysByBucket.set(bucket, keys);
     return keys;
   }
 
-  #dropOldest(): void {
+  #evictOldest(): void {
     if (this.#pins.size > this.#settings.maxPins) {
       this.#delete(this.#pins.keys().next().value as string);
     }
--- a/packages/sessions/src/pinFixture.ts
+++ b/packages/sessions/src/pinFixture.ts
@@ -1,4 +1,7 @@
-/** Daemons with pin directories over one fake table and an in-memory transport; for tests. */
+/**
+ * A test fixture of daemons with pin directories, over a shared fake table and an in-memory
+ * transport.
+ */
 import {
   createSilentLogger,
   rankByRendezvous,
@@ -27,7 +30,7 @@
 
 const LATENCY_MS = 2;
 
-/** The platform's table, with outages. */
+/** The platform's table, with configurable read latency. */
 export class FakePinTable implements TableClient {
   readonly rows = new Map<string, TableRow>();
 
@@ -35,7 +38,6 @@
 
   readCount = 0;
 
-  /** How long a read takes. */
   readDelayMs = LATENCY_MS;
 
   async transact(transactions: readonly TableTransaction[]): Promise<readonly TransactionResult[]> {
@@ -81,13 +83,13 @@
 
   readonly daemons = new Map<string, Daemon>();
 
-  /** Members that do not answer. */
-  readonly silent = new Set<string>();
+  /** Members that do not respond. */
+  readonly unresponsive = new Set<string>();
 
   readonly cutFromTable = new Set<string>();
 
-  /** Members that membership holds for dead. */
-  readonly noticed = new Set<string>();
+  /** Members that the membership layer has detected as dead. */
+  readonly detectedDead = new Set<string>();
 
   constructor() {
     setInvariantsFatal(true);
@@ -111,12 +113,15 @@
       logger: createSilentLogger(),
     });
     this.daemons.set(name, { member, directory, listeners });
-    this.#announce(member);
+    this.#notifyListeners(member);
     directory.start();
     return directory;
   }
 
-  /** Names of the owner and the replica of a session, as its data centre sees them. */
+  /**
+   * Names of all daemons in order of rank for the session's bucket in a data centre: the owner, the
+   * replica, then the others.
+   */
   getHolders(pin: Pin, dataCentre = 'dc1'): readonly string[] {
     const bucket = getBucket(
       getSessionKey(pin.teamUid, pin.session),
@@ -129,22 +134,22 @@
     return this.daemons.get(name)!.directory;
   }
 
-  /** The daemon ends; the others notice later. Its writes to the table end too. */
+  /** The daemon dies without the others detecting it; its table writes fail too. */
   kill(name: string): void {
-    this.silent.add(name);
+    this.unresponsive.add(name);
     this.cutFromTable.add(name);
   }
 
-  notice(name: string): void {
-    this.noticed.add(name);
-    this.#announce(this.daemons.get(name)!.member);
+  detectDeath(name: string): void {
+    this.detectedDead.add(name);
+    this.#notifyListeners(this.daemons.get(name)!.member);
   }
 
-  /** Members of other data centres see nothing of each other. */
+  /** Members of other data centres are not ranked. */
   #rank(key: string, dataCentre: string): readonly Member[] {
     const local = [...this.daemons.values()]
       .map(({ member }) => member)
-      .filter((member) => member.dataCentre === dataCentre && !this.noticed.has(member.vm));
+      .filter((member) => member.dataCentre === dataCentre && !this.detectedDead.has(member.vm));
     const names = local.map(({ vm }) => vm);
     return rankByRendezvous(key, names).map((vm) => this.daemons.get(vm)!.member);
   }
@@ -165,20 +170,20 @@
   }
 
   #createTableClient(name: string): TableClient {
-    const reach = async <Answer>(call: () => Promise<Answer>): Promise<Answer> => {
+    const callIfReachable = async <Answer>(call: () => Promise<Answer>): Promise<Answer> => {
       if (this.cutFromTable.has(name)) {
         throw new PlatformRefusedError('cut off');
       }
       return call();
     };
     return {
-      transact: (transactions) => reach(() => this.table.transact(transactions)),
-      read: (keys) => reach(() => this.table.read(keys)),
-      scan: () => reach(() => this.table.scan()),
+      transact: (transactions) => callIfReachable(() => this.table.transact(transactions)),
+      read: (keys) => callIfReachable(() => this.table.read(keys)),
+      scan: () => callIfReachable(() => this.table.scan()),
     };
   }
 
-  #announce(member: Member): void {
+  #notifyListeners(member: Member): void {
     this.daemons.forEach(({ listeners }) => listeners.forEach((listener) => listener(member)));
   }
 
@@ -188,7 +193,7 @@
       <Input, Output>(run: (input: Input) => Promise<Output>) =>
       async (input: Input): Promise<Output> => {
         await sleep(1);
-        if (this.silent.has(to) || this.silent.has(from)) {
+        if (this.unresponsive.has(to) || this.unresponsive.has(from)) {
           await sleep(1_000);
           throw new PeerUnreachableError(to);
         }
--- a/packages/sessions/src/pinHolders.ts
+++ b/packages/sessions/src/pinHolders.ts
@@ -1,4 +1,4 @@
-/** Who holds the pin of a session, and the calls to them. */
+/** Determines the holders of a session's pin and calls them. */
 import { getErrorMessage, type Logger } from '@snipehaven/common';
 import type { MembershipView } from '@snipehaven/membership';
 import {
@@ -9,15 +9,15 @@
 } from '@snipehaven/protocol';
 import { getBucket, getBucketKey, getSessionKey } from './pinRow.js';
 import type { Pin, PinSettings } from './types.js';
-import { withinTime } from './withinTime.js';
+import { withTimeout } from './withTimeout.js';
 
-/** A session and who is responsible for it. */
-export interface Place {
+/** A session with its bucket and holders. */
+export interface PinLocation {
   readonly teamUid: string;
   readonly session: string;
   readonly key: string;
   readonly bucket: number;
-  /** Owner and replica; only the owner where the data centre has a single daemon. */
+  /** The owner and the replica; only the owner if the data centre has a single daemon. */
   readonly holders: readonly Member[];
 }
 
@@ -25,14 +25,17 @@
   readonly membership: Pick<MembershipView, 'self' | 'rankLocal'>;
   readonly transport: PeerTransport;
   readonly logger: Logger;
-  readonly settings: Pick<PinSettings, 'bucketCount' | 'peerWaitMs' | 'patientPeerWaitMs'>;
-  /** Whether a holder may have to look up for long. */
-  readonly isPatient: () => boolean;
+  readonly settings: Pick<PinSettings, 'bucketCount' | 'peerTimeoutMs' | 'extendedPeerTimeoutMs'>;
+  /** Whether a holder may be doing a look-up with extended timeouts. */
+  readonly usesExtendedTimeouts: () => boolean;
 }
 
 const HOLDER_COUNT = 2;
-/** Former holders rank right after the members that came since; so many are asked for a copy. */
-const WIDE_COUNT = 8;
+/**
+ * Former holders rank directly after members that joined since; copies are requested from this many
+ * members.
+ */
+const EXTENDED_HOLDER_COUNT = 8;
 
 export class PinHolders {
   readonly #options: PinHoldersOptions;
@@ -41,7 +44,7 @@
     this.#options = options;
   }
 
-  locate(teamUid: string, session: string): Place {
+  locate(teamUid: string, session: string): PinLocation {
     const key = getSessionKey(teamUid, session);
     const bucket = getBucket(key, this.#options.settings.bucketCount);
     return { teamUid, session, key, bucket, holders: this.#rank(bucket).slice(0, HOLDER_COUNT) };
@@ -56,49 +59,56 @@
     return owner !== undefined && this.isSelf(owner);
   }
 
-  /** The holder besides this daemon that copies go to. */
-  getReplica({ holders }: Place): Member | undefined {
+  /** The first holder other than this daemon, which receives copies. */
+  getReplica({ holders }: PinLocation): Member | undefined {
     return holders.find((holder) => !this.isSelf(holder));
   }
 
   /**
-   * What goes wrong: the owner dies, and until membership notices, every request of its sessions fails
-   * or loses its pin. One notices sessions that change version after a daemon's death. Hence the replica
-   * is asked next, and when neither answers this daemon stands in with what it and the table know.
+   * Until membership detects that the owner died, every request of its sessions would fail or lose
+   * its pin, which shows as sessions that change version after a daemon's death. The replica is
+   * therefore called next, and if neither responds, this daemon acts as the owner with what it and
+   * the table know.
    */
-  async ask<Answer>(
-    { holders }: Place,
-    askSelf: () => Promise<Answer>,
-    askPeer: (peer: SessionHandlers) => Promise<Answer>,
+  async callFirstHolder<Answer>(
+    { holders }: PinLocation,
+    callSelf: () => Promise<Answer>,
+    callPeer: (peer: SessionHandlers) => Promise<Answer>,
   ): Promise<Answer> {
     for (const holder of holders) {
       if (this.isSelf(holder)) {
         break;
       }
       try {
-        return await this.#call(holder, askPeer, this.#getWaitMs(holder));
+        return await this.#call(holder, callPeer, this.#getTimeoutMs(holder));
       } catch (error) {
-        this.#options.logger.debug({ err: getErrorMessage(error) }, 'holder of a pin away');
+        this.#options.logger.debug({ err: getErrorMessage(error) }, 'pin holder unreachable');
       }
     }
-    return askSelf();
+    return callSelf();
   }
 
   /**
-   * What the other holders have in memory; those away count as having nothing. `isWide` asks those who may
-   * have been holders too.
+   * The pins that other holders have in memory; unreachable holders count as having none. With
+   * `includesFormerHolders`, members that may have been holders earlier are asked as well.
    */
-  async askForCopies(place: Place, isWide: boolean): Promise<readonly Pin[]> {
-    const { teamUid, session, bucket } = place;
-    const ranked = this.#rank(bucket).slice(0, isWide ? WIDE_COUNT : HOLDER_COUNT);
+  async fetchCopies(
+    location: PinLocation,
+    includesFormerHolders: boolean,
+  ): Promise<readonly Pin[]> {
+    const { teamUid, session, bucket } = location;
+    const ranked = this.#rank(bucket).slice(
+      0,
+      includesFormerHolders ? EXTENDED_HOLDER_COUNT : HOLDER_COUNT,
+    );
     const others = ranked.filter((holder) => !this.isSelf(holder));
-    const { peerWaitMs } = this.#options.settings;
+    const { peerTimeoutMs } = this.#options.settings;
     const answers = await Promise.allSettled(
       others.map((holder) =>
         this.#call(
           holder,
           (peer) => peer.getPin({ teamUid, session, isLocalOnly: true }),
-          peerWaitMs,
+          peerTimeoutMs,
         ),
       ),
     );
@@ -107,39 +117,40 @@
     );
   }
 
-  /** Resolves with the pin that the holder keeps after merging; undefined when it is away. */
+  /** Resolves with the pin that the holder keeps after merging; undefined if it is unreachable. */
   async sendCopy(holder: Member, pin: Pin): Promise<Pin | undefined> {
     try {
       const peer = this.#options.transport.getPeer(holder.address).sessions;
       return (await peer.putPin({ pin, isReplica: true })).pin;
     } catch (error) {
-      this.#options.logger.debug({ err: getErrorMessage(error) }, 'pin not copied');
+      this.#options.logger.debug({ err: getErrorMessage(error) }, 'failed to copy a pin');
       return undefined;
     }
   }
 
   /**
-   * What goes wrong: a holder that looks up patiently is given up, the caller stands in, and two callers
-   * choose two versions. So the wait for it is longer than its look-up.
+   * The timeout exceeds the duration of the holder's own look-up. If a holder with extended
+   * timeouts were given up earlier, this daemon would act as the owner too, and two callers could
+   * choose two versions.
    */
-  #getWaitMs(holder: Member): number {
-    const { peerWaitMs, patientPeerWaitMs } = this.#options.settings;
-    const isPatient = this.#options.isPatient() && holder.state === 'alive';
-    return isPatient ? patientPeerWaitMs : peerWaitMs;
+  #getTimeoutMs(holder: Member): number {
+    const { peerTimeoutMs, extendedPeerTimeoutMs } = this.#options.settings;
+    const isExtended = this.#options.usesExtendedTimeouts() && holder.state === 'alive';
+    return isExtended ? extendedPeerTimeoutMs : peerTimeoutMs;
   }
 
   async #call<Answer>(
     { address }: Member,
-    askPeer: (peer: SessionHandlers) => Promise<Answer>,
-    waitMs: number,
+    callPeer: (peer: SessionHandlers) => Promise<Answer>,
+    timeoutMs: number,
   ): Promise<Answer> {
     const peer = this.#options.transport.getPeer(address).sessions;
-    const answer = await withinTime(
-      askPeer(peer).then((value) => ({ value })),
-      waitMs,
+    const answer = await withTimeout(
+      callPeer(peer).then((value) => ({ value })),
+      timeoutMs,
     );
     if (!answer) {
-      throw new PeerUnreachableError(`${address} gave no answer within ${waitMs} ms`);
+      throw new PeerUnreachableError(`${address} did not respond within ${timeoutMs} ms`);
     }
     return answer.value;
   }
--- a/packages/sessions/src/pinRow.ts
+++ b/packages/sessions/src/pinRow.ts
@@ -1,4 +1,4 @@
-/** Rows of the table, each holding the pins of many sessions: their bucket. */
+/** Table rows, each of which holds the pins of many sessions: one bucket. */
 import { createHash } from 'node:crypto';
 import { z } from 'zod';
 import { pinSchema } from '@snipehaven/protocol';
@@ -7,7 +7,7 @@
 import type { Pin, PinSettings } from './types.js';
 
 const storedPinSchema = pinSchema.extend({
-  /** Last use known when the row was written. */
+  /** The last use that was known when the row was written. */
   usedAtMs: z.number(),
 });
 
@@ -15,24 +15,24 @@
 
 export type StoredPin = z.infer<typeof storedPinSchema>;
 
-/** Pins of one bucket by session key. */
+/** The pins of one bucket by session key. */
 export type PinsByKey = ReadonlyMap<string, StoredPin>;
 
-/** Names a session among those of all teams. */
+/** Identifies a session across all teams. */
 export const getSessionKey = (teamUid: string, session: string): string =>
   createHash('sha256')
     .update(JSON.stringify([teamUid, session]))
     .digest('base64url');
 
-/** The bucket of a session, the same at all daemons. */
+/** The bucket of a session, identical on all daemons. */
 export const getBucket = (sessionKey: string, bucketCount: number): number =>
   Buffer.from(sessionKey, 'base64url').readUInt32BE(0) % bucketCount;
 
-/** Key of a bucket's row, by which its owner is chosen too. */
+/** The key of a bucket's row, which also determines the bucket's owner. */
 export const getBucketKey = (bucket: number): string => `${PIN_PREFIX}${bucket}`;
 
-/** The pins of a row's value; those of a malformed row count as lost. */
-export const restorePinRow = (value: unknown): PinsByKey => {
+/** Parses the pins of a row's value; the pins of a malformed row count as lost. */
+export const parsePinRow = (value: unknown): PinsByKey => {
   const row = pinRowSchema.safeParse(value).data;
   return new Map((row?.pins ?? []).map((pin) => [getSessionKey(pin.teamUid, pin.session), pin]));
 };
@@ -45,7 +45,10 @@
   return { ...inForce, usedAtMs: Math.max(a.usedAtMs, b.usedAtMs) };
 };
 
-/** What the row should hold: both sides merged, expired pins left out, the latest used kept. */
+/**
+ * Merges a row with this daemon's pins; drops expired pins, and the least recently used beyond the
+ * limit.
+ */
 export const mergePinRow = (
   row: PinsByKey,
   own: PinsByKey,
@@ -67,13 +70,13 @@
   a.startedAtMs === b.startedAtMs &&
   b.usedAtMs - a.usedAtMs < toleranceMs;
 
-/** Whether the row lacks nothing of what is merged, but for uses within the tolerance. */
+/** Whether the row contains everything in `merged`, ignoring last uses within the tolerance. */
 export const isRowCurrent = (row: PinsByKey, merged: PinsByKey, toleranceMs: number): boolean =>
   [...merged].every(([key, pin]) => isSamePin(row.get(key), pin, toleranceMs));
 
-/** The value that a row is written with; null for none, which deletes it. */
+/** The value to write for a row; null, which deletes the row, if there are no pins. */
 export const serializePinRow = (pins: PinsByKey): unknown =>
   pins.size === 0 ? null : { pins: [...pins.values()] };
 
-/** The pin without what only the table needs. */
+/** Removes the field that only the table needs. */
 export const toPin = ({ usedAtMs: _usedAtMs, ...pin }: StoredPin): Pin => pin;
--- a/packages/sessions/src/pinTable.ts
+++ b/packages/sessions/src/pinTable.ts
@@ -1,16 +1,16 @@
-/** Reads and writes rows of pins; requests never wait long for it. */
+/** Reads and writes rows of pins, with short timeouts for requests. */
 import { getErrorMessage, type Logger } from '@snipehaven/common';
 import type { TableClient, TableRow, TransactionResult } from '@snipehaven/platform';
 import {
   getBucketKey,
   isRowCurrent,
   mergePinRow,
-  restorePinRow,
+  parsePinRow,
   serializePinRow,
   type PinsByKey,
 } from './pinRow.js';
 import type { PinSettings } from './types.js';
-import { withinTime } from './withinTime.js';
+import { withTimeout } from './withTimeout.js';
 
 export interface PinTableOptions {
   readonly table: TableClient;
@@ -18,17 +18,17 @@
   readonly settings: PinSettings;
 }
 
-/** What this daemon holds of one bucket. */
+/** This daemon's pins of one bucket. */
 export interface BucketPins {
   readonly bucket: number;
   readonly pins: PinsByKey;
 }
 
-/** Outcome for one bucket: `conflict` means that it has to be written again. */
+/** The result of writing one bucket; on `conflict` it must be written again. */
 export interface BucketWrite {
   readonly bucket: number;
   readonly kind: 'current' | 'written' | 'conflict';
-  /** The row's pins before, merged with the own ones. */
+  /** The row's previous pins merged with this daemon's. */
   readonly merged: PinsByKey;
 }
 
@@ -38,58 +38,64 @@
   readonly isCurrent: boolean;
 }
 
-/** Uses are written once they are a fair part of the lifetime old, not with every request. */
-const USE_TOLERANCE_SHARE = 0.25;
+/**
+ * A last use is written only once it is older than this fraction of the lifetime, not for every
+ * request.
+ */
+const USE_TOLERANCE_RATIO = 0.25;
 
 export class PinTable {
   readonly #options: PinTableOptions;
 
-  #askAgainAtMs = 0;
+  #retryAtMs = 0;
 
-  /** The longest wait that failed lately: a longer one may still succeed. */
-  #failedWaitMs = 0;
+  /** The longest timeout that failed recently; a read with a longer one may still succeed. */
+  #failedTimeoutMs = 0;
 
   constructor(options: PinTableOptions) {
     this.#options = options;
   }
 
   /**
-   * The pins of a bucket's row. With the table away, sessions must go on: after a failure or a slow
-   * reply requests do without the table for a while instead of each waiting for it. Undefined: the
-   * table did not say, which is not the same as a row without the pin.
+   * Reads the pins of a bucket's row. Sessions must continue while the table is down: after a
+   * failure or a slow response, requests skip the table for a while instead of each waiting for it.
+   * Undefined means that the table did not respond, as opposed to a row without the pin.
    */
-  async readBucket(bucket: number, waitMs: number): Promise<PinsByKey | undefined> {
-    if (Date.now() < this.#askAgainAtMs && waitMs <= this.#failedWaitMs) {
+  async readBucket(bucket: number, timeoutMs: number): Promise<PinsByKey | undefined> {
+    if (Date.now() < this.#retryAtMs && timeoutMs <= this.#failedTimeoutMs) {
       return undefined;
     }
-    const rows = await withinTime(this.#readRows([bucket]), waitMs);
+    const rows = await withTimeout(this.#readRows([bucket]), timeoutMs);
     if (!rows) {
-      this.#noteFailure(waitMs);
+      this.#recordFailure(timeoutMs);
       return undefined;
     }
-    return restorePinRow(rows[0]?.value);
+    return parsePinRow(rows[0]?.value);
   }
 
-  /** Merges the buckets into their rows in one call; throws the platform's errors. */
+  /** Merges the buckets into their rows in one call; throws the errors of the platform package. */
   async writeBuckets(buckets: readonly BucketPins[]): Promise<readonly BucketWrite[]> {
     const rows = await this.#options.table.read(buckets.map(({ bucket }) => getBucketKey(bucket)));
     const plans = buckets.map((own) => this.#plan(own, rows));
     const outdated = plans.filter((plan) => !plan.isCurrent);
     const results = outdated.length === 0 ? [] : await this.#transact(outdated);
-    return plans.map((plan) => this.#report(plan, results[outdated.indexOf(plan)]));
+    return plans.map((plan) => this.#toBucketWrite(plan, results[outdated.indexOf(plan)]));
   }
 
-  #noteFailure(waitMs: number): void {
-    const isLate = Date.now() >= this.#askAgainAtMs;
-    this.#failedWaitMs = isLate ? waitMs : Math.max(waitMs, this.#failedWaitMs);
-    this.#askAgainAtMs = Date.now() + this.#options.settings.tableRetryMs;
+  #recordFailure(timeoutMs: number): void {
+    const isRetryDue = Date.now() >= this.#retryAtMs;
+    this.#failedTimeoutMs = isRetryDue ? timeoutMs : Math.max(timeoutMs, this.#failedTimeoutMs);
+    this.#retryAtMs = Date.now() + this.#options.settings.tableRetryDelayMs;
   }
 
   async #readRows(buckets: readonly number[]): Promise<readonly TableRow[] | undefined> {
     try {
       return await this.#options.table.read(buckets.map(getBucketKey));
     } catch (error) {
-      this.#options.logger.debug({ err: getErrorMessage(error) }, 'pins not read from the table');
+      this.#options.logger.debug(
+        { err: getErrorMessage(error) },
+        'failed to read pins from the table',
+      );
       return undefined;
     }
   }
@@ -97,9 +103,9 @@
   #plan(own: BucketPins, rows: readonly TableRow[]): PlannedWrite {
     const { settings } = this.#options;
     const row = rows.find(({ key }) => key === getBucketKey(own.bucket));
-    const present = restorePinRow(row?.value);
+    const present = parsePinRow(row?.value);
     const merged = mergePinRow(present, own.pins, Date.now(), settings);
-    const toleranceMs = settings.pinLifetimeMs * USE_TOLERANCE_SHARE;
+    const toleranceMs = settings.pinLifetimeMs * USE_TOLERANCE_RATIO;
     const isCurrent = isRowCurrent(present, merged, toleranceMs);
     return { ...own, version: row?.version ?? 0, merged, isCurrent };
   }
@@ -116,7 +122,7 @@
     );
   }
 
-  #report(plan: PlannedWrite, result: TransactionResult | undefined): BucketWrite {
+  #toBucketWrite(plan: PlannedWrite, result: TransactionResult | undefined): BucketWrite {
     const { bucket, merged, isCurrent } = plan;
     if (isCurrent) {
       return { bucket, kind: 'current', merged };
--- a/packages/sessions/src/replicatedPinDirectory.ts
+++ b/packages/sessions/src/replicatedPinDirectory.ts
@@ -1,23 +1,24 @@
 /**
- * Pins of callers' own session ids. A bucket of sessions has one owner among the live members of the
- * data centre and one replica, by rendezvous hashing; the table gets the pins behind the requests.
+ * The directory of pins for callers' own session ids. A bucket of sessions has one owner among the
+ * live members of the data centre and one replica, chosen by rendezvous hashing; pins are written
+ * to the table in the background.
  */
 import type { Logger } from '@snipehaven/common';
 import type { MembershipView } from '@snipehaven/membership';
 import type { TableClient } from '@snipehaven/platform';
 import type { Member, PeerTransport, SessionHandlers } from '@snipehaven/protocol';
 import type { TimelineRecorder } from '@snipehaven/timeline';
-import { acceptOffer, mergePins } from './choosePin.js';
+import { resolveOffer, mergePins } from './choosePin.js';
 import { DEFAULT_PIN_SETTINGS } from './constants.js';
 import { PinFlusher } from './pinFlusher.js';
-import { PinHolders, type Place } from './pinHolders.js';
-import { PinMemory } from './pinMemory.js';
+import { PinHolders, type PinLocation } from './pinHolders.js';
+import { PinCache } from './pinCache.js';
 import { getSessionKey, toPin } from './pinRow.js';
 import { PinTable } from './pinTable.js';
-import { RecentChanges } from './recentChanges.js';
-import { RecentMisses } from './recentMisses.js';
+import { MembershipChangeTracker } from './membershipChangeTracker.js';
+import { NegativeLookupCache } from './negativeLookupCache.js';
 import type { Pin, PinDirectory, PinSettings } from './types.js';
-import { withinTime } from './withinTime.js';
+import { withTimeout } from './withTimeout.js';
 
 export interface ReplicatedPinDirectoryOptions {
   readonly membership: Pick<MembershipView, 'self' | 'rankLocal' | 'listAlive' | 'onChange'>;
@@ -28,17 +29,17 @@
   readonly settings?: Partial<PinSettings>;
 }
 
-const REVIEWS_PER_LIFETIME = 8;
+const REWRITES_PER_LIFETIME = 8;
 
 export class ReplicatedPinDirectory implements PinDirectory {
-  /** What this daemon answers to its peers. */
+  /** The handlers for calls from peers. */
   readonly handlers: SessionHandlers;
 
   readonly #options: ReplicatedPinDirectoryOptions;
 
   readonly #settings: PinSettings;
 
-  readonly #memory: PinMemory;
+  readonly #cache: PinCache;
 
   readonly #holders: PinHolders;
 
@@ -46,14 +47,14 @@
 
   readonly #flusher: PinFlusher;
 
-  readonly #misses: RecentMisses;
+  readonly #recentMisses: NegativeLookupCache;
 
-  readonly #changes: RecentChanges;
+  readonly #membershipChanges: MembershipChangeTracker;
 
-  /** Look-ups under way, by session key. */
-  readonly #lookUps = new Map<string, Promise<void>>();
+  /** Look-ups in progress by session key. */
+  readonly #pendingLookUps = new Map<string, Promise<void>>();
 
-  #reviewAtMs = 0;
+  #nextRewriteAtMs = 0;
 
   #stopListening: () => void = () => undefined;
 
@@ -62,56 +63,62 @@
     const shared = { ...options, settings };
     this.#options = options;
     this.#settings = settings;
-    this.#memory = new PinMemory(settings);
+    this.#cache = new PinCache(settings);
     const { dataCentre } = options.membership.self;
-    this.#changes = new RecentChanges(dataCentre, settings.changeFreshMs);
-    this.#holders = new PinHolders({ ...shared, isPatient: () => this.#changes.areFresh });
+    this.#membershipChanges = new MembershipChangeTracker(
+      dataCentre,
+      settings.membershipChangeWindowMs,
+    );
+    this.#holders = new PinHolders({
+      ...shared,
+      usesExtendedTimeouts: () => this.#membershipChanges.hasRecentChange,
+    });
     this.#table = new PinTable(shared);
-    this.#misses = new RecentMisses(settings.missFreshMs);
+    this.#recentMisses = new NegativeLookupCache(settings.missTtlMs);
     this.#flusher = new PinFlusher({
-      memory: this.#memory,
+      cache: this.#cache,
       table: this.#table,
       logger: options.logger,
       settings,
       getDaemonCount: () => options.membership.listAlive().length,
-      onRound: () => this.#reviewOwned(),
+      beforeFlush: () => this.#rewriteOwnedBuckets(),
       onReplaced: (from, to) => this.#recordReplaced(from, to),
     });
     this.handlers = this.#createHandlers();
   }
 
-  /** Pins in memory here and buckets that wait for the table; for metrics. */
+  /** The number of pins in memory and of buckets not yet written to the table, for metrics. */
   get counts(): { readonly pins: number; readonly unwrittenBuckets: number } {
-    return { pins: this.#memory.size, unwrittenBuckets: this.#flusher.dirtyCount };
+    return { pins: this.#cache.size, unwrittenBuckets: this.#flusher.dirtyCount };
   }
 
   /** Starts writing to the table. */
   start(): void {
     this.#flusher.start();
     this.#stopListening = this.#options.membership.onChange((member) => {
-      this.#changes.note(member);
-      this.#reviewAtMs = 0;
+      this.#membershipChanges.record(member);
+      this.#nextRewriteAtMs = 0;
     });
   }
 
-  /** Writes what is left and stops. */
+  /** Writes the remaining buckets and stops. */
   async stop(): Promise<void> {
     this.#stopListening();
     await this.#flusher.stop();
   }
 
   async find(teamUid: string, session: string): Promise<Pin | undefined> {
-    const place = this.#holders.locate(teamUid, session);
-    const answer = await this.#holders.ask(
-      place,
-      () => this.#findAsOwner(place),
+    const location = this.#holders.locate(teamUid, session);
+    const answer = await this.#holders.callFirstHolder(
+      location,
+      () => this.#findAsOwner(location),
       async (peer) => (await peer.getPin({ teamUid, session })).pin,
     );
-    return this.#reconcile(place, answer);
+    return this.#reconcile(location, answer);
   }
 
   pin(pin: Pin): Promise<Pin> {
-    return this.#holders.ask(
+    return this.#holders.callFirstHolder(
       this.#holders.locate(pin.teamUid, pin.session),
       () => this.#pinAsOwner(pin),
       async (peer) => (await peer.putPin({ pin, isReplica: false })).pin,
@@ -122,132 +129,138 @@
     return {
       getPin: async ({ teamUid, session, isLocalOnly }) => ({
         pin: isLocalOnly
-          ? this.#recall(getSessionKey(teamUid, session))
+          ? this.#getCached(getSessionKey(teamUid, session))
           : await this.#findAsOwner(this.#holders.locate(teamUid, session)),
       }),
       putPin: async ({ pin, isReplica }) => ({
-        pin: isReplica ? this.#takeCopy(pin) : await this.#pinAsOwner(pin),
+        pin: isReplica ? this.#mergeCopy(pin) : await this.#pinAsOwner(pin),
       }),
     };
   }
 
-  /** An owner that gets a copy gets it from a stand-in, and writes it as its own. */
-  #takeCopy(pin: Pin): Pin {
+  /**
+   * An owner receives a copy only from a daemon that acted as the owner, so it has to write the pin
+   * itself.
+   */
+  #mergeCopy(pin: Pin): Pin {
     const { bucket } = this.#holders.locate(pin.teamUid, pin.session);
     if (this.#holders.ownsBucket(bucket)) {
-      this.#flusher.mark(bucket);
+      this.#flusher.markDirty(bucket);
     }
-    return this.#memory.merge(pin, Date.now());
+    return this.#cache.merge(pin, Date.now());
   }
 
-  /** A pin that this daemon kept while it stood in for the holders goes back to them. */
-  async #reconcile(place: Place, answer: Pin | undefined): Promise<Pin | undefined> {
-    const own = this.#recall(place.key);
+  /** Sends the holders a pin that this daemon stored while it acted as the owner. */
+  async #reconcile(location: PinLocation, answer: Pin | undefined): Promise<Pin | undefined> {
+    const own = this.#getCached(location.key);
     const inForce = mergePins(answer, own);
     if (inForce && inForce === own) {
-      await Promise.all(place.holders.map((holder) => this.#copyTo(holder, place, own)));
+      await Promise.all(location.holders.map((holder) => this.#copyTo(holder, location, own)));
     }
     return inForce;
   }
 
-  async #findAsOwner(place: Place): Promise<Pin | undefined> {
-    if (!this.#recall(place.key)) {
-      await this.#lookUpOnce(place);
+  async #findAsOwner(location: PinLocation): Promise<Pin | undefined> {
+    if (!this.#getCached(location.key)) {
+      await this.#lookUpOnce(location);
     }
-    const pin = this.#recall(place.key);
+    const pin = this.#getCached(location.key);
     if (pin) {
-      void this.#copyToReplica(place, pin);
+      void this.#copyToReplica(location, pin);
     }
     return pin;
   }
 
   async #pinAsOwner(offered: Pin): Promise<Pin> {
-    const place = this.#holders.locate(offered.teamUid, offered.session);
-    if (!this.#recall(place.key) && !this.#misses.has(place.key)) {
-      await this.#lookUpOnce(place);
+    const location = this.#holders.locate(offered.teamUid, offered.session);
+    if (!this.#getCached(location.key) && !this.#recentMisses.has(location.key)) {
+      await this.#lookUpOnce(location);
     }
-    const present = this.#recall(place.key);
-    const inForce = acceptOffer(present, offered);
+    const present = this.#getCached(location.key);
+    const inForce = resolveOffer(present, offered);
     if (inForce !== present) {
-      this.#memory.set(inForce, Date.now());
-      this.#flusher.mark(place.bucket);
+      this.#cache.set(inForce, Date.now());
+      this.#flusher.markDirty(location.bucket);
     }
-    // A silent replica must not hold up the request: the copy goes on behind it.
-    await withinTime(this.#copyToReplica(place, inForce), this.#settings.replicaWaitMs);
-    return this.#recall(place.key) ?? inForce;
+    // An unresponsive replica must not delay the request; copying continues in the background.
+    await withTimeout(this.#copyToReplica(location, inForce), this.#settings.replicaTimeoutMs);
+    return this.#getCached(location.key) ?? inForce;
   }
 
-  /** Asks other members and the table for a session that is not in memory, once at a time. */
-  #lookUpOnce(place: Place): Promise<void> {
-    const present = this.#lookUps.get(place.key);
+  /**
+   * Looks up a session that is not in memory on other members and in the table; concurrent calls
+   * share one look-up.
+   */
+  #lookUpOnce(location: PinLocation): Promise<void> {
+    const present = this.#pendingLookUps.get(location.key);
     if (present) {
       return present;
     }
-    const lookUp = this.#lookUp(place).finally(() => this.#lookUps.delete(place.key));
-    this.#lookUps.set(place.key, lookUp);
+    const lookUp = this.#lookUp(location).finally(() => this.#pendingLookUps.delete(location.key));
+    this.#pendingLookUps.set(location.key, lookUp);
     return lookUp;
   }
 
-  async #lookUp(place: Place): Promise<void> {
-    const { tableWaitMs, patientTableWaitMs } = this.#settings;
-    const isPatient = this.#changes.areFresh;
+  async #lookUp(location: PinLocation): Promise<void> {
+    const { tableTimeoutMs, extendedTableTimeoutMs } = this.#settings;
+    const isExtended = this.#membershipChanges.hasRecentChange;
     const [row, copies] = await Promise.all([
-      this.#table.readBucket(place.bucket, isPatient ? patientTableWaitMs : tableWaitMs),
-      this.#holders.askForCopies(place, isPatient),
+      this.#table.readBucket(location.bucket, isExtended ? extendedTableTimeoutMs : tableTimeoutMs),
+      this.#holders.fetchCopies(location, isExtended),
     ]);
-    const stored = row?.get(place.key);
+    const stored = row?.get(location.key);
     if (stored && stored.usedAtMs + this.#settings.pinLifetimeMs > Date.now()) {
-      this.#memory.merge(toPin(stored), stored.usedAtMs);
+      this.#cache.merge(toPin(stored), stored.usedAtMs);
     }
     this.#mergeCopies(copies);
-    if (!row && !isPatient && copies.length === 0) {
-      this.#mergeCopies(await this.#holders.askForCopies(place, true));
+    if (!row && !isExtended && copies.length === 0) {
+      this.#mergeCopies(await this.#holders.fetchCopies(location, true));
     }
-    this.#misses.note(place.key);
+    this.#recentMisses.add(location.key);
   }
 
   #mergeCopies(copies: readonly Pin[]): void {
-    copies.forEach((pin) => this.#memory.merge(pin, Date.now()));
+    copies.forEach((pin) => this.#cache.merge(pin, Date.now()));
   }
 
-  #recall(key: string): Pin | undefined {
-    const held = this.#memory.use(key);
+  #getCached(key: string): Pin | undefined {
+    const held = this.#cache.use(key);
     return held && toPin(held);
   }
 
-  async #copyToReplica(place: Place, pin: Pin): Promise<void> {
-    const replica = this.#holders.getReplica(place);
-    if (replica && !this.#memory.hasCopyAt(place.key, replica.incarnation)) {
-      await this.#copyTo(replica, place, pin);
+  async #copyToReplica(location: PinLocation, pin: Pin): Promise<void> {
+    const replica = this.#holders.getReplica(location);
+    if (replica && !this.#cache.hasCopyAt(location.key, replica.incarnation)) {
+      await this.#copyTo(replica, location, pin);
     }
   }
 
-  async #copyTo(holder: Member, place: Place, pin: Pin): Promise<void> {
+  async #copyTo(holder: Member, location: PinLocation, pin: Pin): Promise<void> {
     if (this.#holders.isSelf(holder)) {
       return;
     }
     const known = await this.#holders.sendCopy(holder, pin);
     if (known) {
-      this.#memory.merge(known, Date.now());
-      this.#memory.noteCopy(place.key, holder.incarnation);
+      this.#cache.merge(known, Date.now());
+      this.#cache.recordCopy(location.key, holder.incarnation);
     }
   }
 
   /**
-   * What goes wrong: an owner dies before it wrote its pins, and the replica dies later. One notices
-   * sessions that lost their version after two deaths minutes apart. Hence a replica that becomes the
-   * owner writes the buckets it holds; rows that are up to date cost a read only. The same is done now
-   * and then for the times of last use.
+   * If an owner dies before it wrote its pins and the replica dies later, sessions lose their
+   * version after two deaths minutes apart. A replica that becomes the owner therefore writes the
+   * buckets that it holds; rows that are up to date only cost a read. This is repeated periodically
+   * to update the times of last use.
    */
-  #reviewOwned(): void {
-    if (Date.now() < this.#reviewAtMs) {
+  #rewriteOwnedBuckets(): void {
+    if (Date.now() < this.#nextRewriteAtMs) {
       return;
     }
-    this.#reviewAtMs = Date.now() + this.#settings.pinLifetimeMs / REVIEWS_PER_LIFETIME;
-    this.#memory
+    this.#nextRewriteAtMs = Date.now() + this.#settings.pinLifetimeMs / REWRITES_PER_LIFETIME;
+    this.#cache
       .listBuckets()
       .filter((bucket) => this.#holders.ownsBucket(bucket))
-      .forEach((bucket) => this.#flusher.mark(bucket));
+      .forEach((bucket) => this.#flusher.markDirty(bucket));
   }
 
   #recordReplaced(from: Pin, to: Pin): void {
--- a/packages/sessions/src/types.ts
+++ b/packages/sessions/src/types.ts
@@ -1,14 +1,14 @@
-/** Sessions: a caller's conversation that keeps its version. */
+/** Sessions: conversations of a caller that stay on one version. */
 import type { Pin } from '@snipehaven/protocol';
 
 export type { Pin } from '@snipehaven/protocol';
 
-/** Signs and checks session tokens, which any daemon honours without state. */
+/** Signs and verifies session tokens, which every daemon accepts without keeping state. */
 export interface SessionTokens {
   issue(pin: Pin): string;
   /**
-   * The pin of a genuine token of the current or the previous key; undefined otherwise. Given the
-   * caller's team, the token of another team, or of a deleted one of the same name, is refused too.
+   * The pin of a token signed with the current or the previous key; undefined otherwise. With the
+   * caller's team, tokens of another team, or of a deleted team of the same name, are rejected too.
    */
   verify(token: string, teamUid?: string): Pin | undefined;
 }
@@ -16,44 +16,51 @@
 /** Pins of callers that send only a session id of their own. */
 export interface PinDirectory {
   find(teamUid: string, session: string): Promise<Pin | undefined>;
-  /** Pins; resolves with the pin in force, which may be an earlier one. */
+  /** Stores a pin; resolves with the pin in force, which may be an earlier one. */
   pin(pin: Pin): Promise<Pin>;
 }
 
-/** A key that signs session tokens. */
 export interface SessionKey {
-  /** Short public name of the key, which stands in the token. */
+  /** Short public name of the key, contained in the token. */
   readonly id: string;
   readonly secret: string;
 }
 
-/** Bounds and times of the pin directory. */
+/** Limits and timeouts of the pin directory. */
 export interface PinSettings {
-  /** How long after its last use a pin is kept. */
+  /** How long a pin is kept after its last use. */
   readonly pinLifetimeMs: number;
-  /** Pins in the memory of one daemon; the least recently used goes first. */
+  /** Pins in the memory of one daemon; the least recently used is evicted first. */
   readonly maxPins: number;
-  /** Rows that all pins are spread over; the same at all daemons for good. */
+  /**
+   * The number of rows that pins are distributed over; must be the same on all daemons and never
+   * change.
+   */
   readonly bucketCount: number;
   readonly maxPinsPerRow: number;
   readonly flushIntervalMs: number;
-  /** Writes of pins by all daemons together, each taking an equal part. */
+  /** Table writes of pins by all daemons together; each daemon gets an equal part. */
   readonly maxTableWritesPerSecond: number;
   readonly maxRowsPerFlush: number;
-  /** How long a request waits for the table; it then goes on without. */
-  readonly tableWaitMs: number;
-  /** Pause before the table is asked again after it failed. */
-  readonly tableRetryMs: number;
-  /** How long a request waits for a holder before it turns to the next. */
-  readonly peerWaitMs: number;
-  /** For how long a look-up that found nothing counts, so that `pin` after `find` costs no second. */
-  readonly missFreshMs: number;
-  /** How long a new pin waits for its copy. */
-  readonly replicaWaitMs: number;
-  /** For how long after a change of local members look-ups are patient. */
-  readonly changeFreshMs: number;
-  /** How long a patient look-up waits for the table. */
-  readonly patientTableWaitMs: number;
-  /** How long a request then waits for a holder that is no suspect; longer than its look-up takes. */
-  readonly patientPeerWaitMs: number;
+  /** How long a request waits for the table before it continues without it. */
+  readonly tableTimeoutMs: number;
+  /** How long requests skip the table after it failed. */
+  readonly tableRetryDelayMs: number;
+  /** How long a request waits for a holder before it calls the next. */
+  readonly peerTimeoutMs: number;
+  /**
+   * How long an unsuccessful look-up is cached, so that `pin` after `find` does not look up again.
+   */
+  readonly missTtlMs: number;
+  /** How long storing a new pin waits for the copy at the replica. */
+  readonly replicaTimeoutMs: number;
+  /** How long look-ups use extended timeouts after a change of local members. */
+  readonly membershipChangeWindowMs: number;
+  /** The table timeout of a look-up with extended timeouts. */
+  readonly extendedTableTimeoutMs: number;
+  /**
+   * The timeout for a holder that is not suspected dead, while it may be looking up with extended
+   * timeouts; must exceed the duration of its look-up.
+   */
+  readonly extendedPeerTimeoutMs: number;
 }
