--- a/packages/configuration/src/backoff.ts
+++ b/packages/configuration/src/backoff.ts
@@ -1,7 +1,7 @@
-/** Growing waits between tries, jittered so that daemons do not retry in step. */
+/** Exponential backoff with jitter, which keeps daemons from retrying in step. */
 import { sleep, type Random } from '@snipehaven/common';
 
-/** The wait before the next try: doubled by each failure, then half to all of it at random. */
+/** Backoff delay: doubled per failure up to the maximum, of which a random half to all is used. */
 export const getBackoffMs = (
   failures: number,
   baseMs: number,
@@ -12,7 +12,9 @@
   return limitMs * (0.5 + random.next() / 2);
 };
 
-/** Runs a step over and over, waiting as long as it says, until the signal aborts. */
+/**
+ * Runs the step repeatedly until the signal aborts. The step returns the delay before the next run.
+ */
 export const runRepeatedly = async (
   step: () => Promise<number>,
   signal: AbortSignal,
--- a/packages/configuration/src/bootstrapper.ts
+++ b/packages/configuration/src/bootstrapper.ts
@@ -1,4 +1,4 @@
-/** Loads the first configuration of a daemon from whoever answers. */
+/** Loads the initial configuration of a daemon from the first available source. */
 import { getErrorMessage, type Logger, type Random } from '@snipehaven/common';
 import type { MembershipView } from '@snipehaven/membership';
 import type { Member } from '@snipehaven/protocol';
@@ -20,13 +20,13 @@
   readonly settings: ConfigurationSettings;
 }
 
-/** A source of configurations; rejects when it has none to give. */
+/** A source of configurations; `load` rejects if it has none. */
 interface BootSource {
   readonly name: string;
   load(): Promise<void>;
 }
 
-const MAX_PEERS_ASKED = 3;
+const MAX_PEERS_TRIED = 3;
 
 export class Bootstrapper {
   readonly #options: BootstrapperOptions;
@@ -44,20 +44,20 @@
     ];
   }
 
-  /** Tries until a source has answered. */
+  /** Retries until a source has provided a configuration. */
   async run(signal: AbortSignal): Promise<void> {
     const booted = new AbortController();
     const ended = AbortSignal.any([signal, booted.signal]);
     await runRepeatedly(async () => {
-      if (await this.#tryAll()) {
-        this.#options.readiness.noteLoaded();
+      if (await this.#tryAllSources()) {
+        this.#options.readiness.markLoaded();
         booted.abort();
       }
       return this.#getWaitMs();
     }, ended);
   }
 
-  async #tryAll(): Promise<boolean> {
+  async #tryAllSources(): Promise<boolean> {
     for (const source of this.#sources) {
       if (await this.#trySource(source)) {
         return true;
@@ -74,13 +74,16 @@
       logger.info({ source: name }, 'configuration loaded');
       return true;
     } catch (error) {
-      logger.warn({ source: name, fault: getErrorMessage(error) }, 'no configuration from source');
+      logger.warn(
+        { source: name, fault: getErrorMessage(error) },
+        'could not load the configuration from the source',
+      );
       return false;
     }
   }
 
   async #loadFromPeers(): Promise<void> {
-    let lastError: unknown = new Error('no peer is known');
+    let lastError: unknown = new Error('no peers are known yet');
     for (const peer of this.#pickPeers()) {
       try {
         await this.#options.synchroniser.catchUpFromPeer(peer.address, true);
@@ -100,8 +103,8 @@
       .map((member) => ({ member, order: random.next() }))
       .sort((a, b) => a.order - b.order)
       .map(({ member }) => member);
-    const near = local.slice(0, MAX_PEERS_ASKED - 1);
-    return [...near, ...membership.listRelays()].slice(0, MAX_PEERS_ASKED);
+    const localPeers = local.slice(0, MAX_PEERS_TRIED - 1);
+    return [...localPeers, ...membership.listRelays()].slice(0, MAX_PEERS_TRIED);
   }
 
   async #loadFromTable(): Promise<void> {
--- a/packages/configuration/src/configurationReplica.test.ts
+++ b/packages/configuration/src/configurationReplica.test.ts
@@ -12,38 +12,38 @@
 
 const withCluster = createClusterTest(install);
 
-const NINE = ['a1', 'a2', 'a3', 'b1', 'b2', 'b3', 'c1', 'c2', 'c3'];
+const NINE_VMS = ['a1', 'a2', 'a3', 'b1', 'b2', 'b3', 'c1', 'c2', 'c3'];
 
-let requests = 0;
+let requestCount = 0;
 
 const applyTeam = async (
   cluster: TestCluster,
   { replica }: TestDaemon,
   qualityTarget: number,
 ): Promise<void> => {
-  requests += 1;
+  requestCount += 1;
   const manifest = buildTeam('t', 'a', { qualityTarget });
-  await cluster.settle(replica.apply(manifest, { clientRequestId: `r${requests}` }));
+  await cluster.settle(replica.apply(manifest, { clientRequestId: `r${requestCount}` }));
 };
 
 const getTarget = ({ replica }: TestDaemon): number | undefined =>
   replica.getView().get('Team', 't')?.spec.qualityTarget;
 
-const keepOnly = ({ objects }: FakeObjectStore, revision: number): void =>
+const retainOnlySnapshot = ({ objects }: FakeObjectStore, revision: number): void =>
   [...objects.keys()]
     .filter((name) => Number(name.slice(SNAPSHOT_PREFIX.length).split('-')[0]) !== revision)
     .forEach((name) => objects.delete(name));
 
 test(
-  'a change is in force everywhere, by what all daemons report',
+  'a change is applied by all daemons, according to their reports',
   withCluster(async (cluster) => {
-    const daemons = await cluster.addReadyDaemons(NINE);
+    const daemons = await cluster.addReadyDaemons(NINE_VMS);
     const [first] = daemons as [TestDaemon];
     await applyTeam(cluster, first, 0.7);
     await cluster.advance(100);
     assert.equal(
       daemons.map(getTarget),
-      NINE.map(() => 0.7),
+      NINE_VMS.map(() => 0.7),
     );
     const { inForce } = first.replica.getStatus();
     assert.equal(inForce, {
@@ -59,63 +59,60 @@
 );
 
 test(
-  'anti-entropy brings what pushes lose',
+  'anti-entropy delivers changes whose pushes were lost',
   withCluster(async (cluster) => {
-    // Symptom: some daemons still serve the old configuration long after an apply.
-    // Sequence: all pushes of a change are lost, and the table goes away.
-    // Cause: a push is sent once.
-    const daemons = await cluster.addReadyDaemons(NINE);
-    cluster.losePushes();
+    // Guards against daemons that keep the old configuration because all pushes of a change, which
+    // are sent only once, are lost and the table is unavailable.
+    const daemons = await cluster.addReadyDaemons(NINE_VMS);
+    cluster.dropPushes();
     await applyTeam(cluster, daemons[0] as TestDaemon, 0.7);
     cluster.table.inject({ isDown: true });
     await cluster.advance(4_000);
     assert.equal(
       daemons.map(getTarget),
-      NINE.map(() => 0.7),
+      NINE_VMS.map(() => 0.7),
     );
   }),
 );
 
 test(
-  'a data centre that was cut off serves, says stale, and catches up when healed',
+  'a partitioned data centre serves, reports staleness, and catches up after the partition heals',
   withCluster(async (cluster) => {
-    // Symptom: a data centre comes back with an old configuration, or refuses all while it is cut off.
-    // Sequence: data centre c loses the others and the table; changes are made meanwhile; the cut heals.
-    // Cause: nothing reaches c, and nobody sends the changes a second time.
-    const daemons = await cluster.addReadyDaemons(NINE);
+    // Guards against a partitioned data centre that rejects all requests or keeps an old
+    // configuration after the partition heals, since nobody pushes the missed changes again.
+    const daemons = await cluster.addReadyDaemons(NINE_VMS);
     const first = daemons[0] as TestDaemon;
-    const far = daemons[8] as TestDaemon;
+    const remote = daemons[8] as TestDaemon;
     await applyTeam(cluster, first, 0.1);
     await cluster.advance(1_000);
-    cluster.cutOff.add('c');
+    cluster.partitioned.add('c');
     await applyTeam(cluster, first, 0.2);
     await applyTeam(cluster, first, 0.3);
     await cluster.advance(30_000);
-    assert.is(getTarget(far), 0.1);
-    assert.is(far.replica.getStatus().isStale, true);
-    assert.is(far.replica.getStatus().hasConfiguration, true);
+    assert.is(getTarget(remote), 0.1);
+    assert.is(remote.replica.getStatus().isStale, true);
+    assert.is(remote.replica.getStatus().hasConfiguration, true);
     assert.is(first.replica.getStatus().isStale, false);
     assert.is(first.replica.getStatus().inForce.totalDaemons, 6);
     assert.is(first.replica.getStatus().inForce.appliedDaemons, 6);
-    cluster.cutOff.clear();
+    cluster.partitioned.clear();
     assert.is.not(first.replica.getStatus().inForce.appliedDaemons, 9);
     await cluster.advance(4_000);
     assert.equal(
       daemons.map(getTarget),
-      NINE.map(() => 0.3),
+      NINE_VMS.map(() => 0.3),
     );
     await cluster.advance(6_000);
-    assert.is(far.replica.getStatus().isStale, false);
+    assert.is(remote.replica.getStatus().isStale, false);
     assert.is(first.replica.getStatus().inForce.appliedDaemons, 9);
   }),
 );
 
 test(
-  'a daemon that boots with everything else down is not ready, and becomes so with the first source',
+  'a daemon that boots without any source is not ready until a source is available',
   withCluster(async (cluster) => {
-    // Symptom: a new daemon refuses all teams as unknown.
-    // Sequence: it boots while table, object store and peers are away; it counts the empty state as loaded.
-    // Cause: nothing to load looks like nothing configured.
+    // Guards against a new daemon that treats the empty state as a loaded configuration, and
+    // rejects all teams as unknown, when no source is available at boot.
     const old = cluster.addDaemon('a1');
     await cluster.advance(3_000);
     await applyTeam(cluster, old, 0.7);
@@ -138,9 +135,8 @@
 test(
   'a daemon boots from peers while the table is down',
   withCluster(async (cluster) => {
-    // Symptom: replaced VMs stay unready during an outage of the table, until none is left.
-    // Sequence: table and object store go down; a daemon is replaced.
-    // Cause: only the platform is asked for a configuration.
+    // Guards against replaced VMs that stay unready during an outage of the table and the object
+    // store because only the platform is asked for a configuration.
     const [old] = (await cluster.addReadyDaemons(['a1', 'a2'])) as [TestDaemon];
     await applyTeam(cluster, old, 0.7);
     cluster.table.inject({ isDown: true });
@@ -155,34 +151,32 @@
 );
 
 test(
-  'a daemon that booted from an old snapshot is not ready before it has what its peers have',
+  'a daemon that booted from an old snapshot is not ready until it has caught up with its peers',
   withCluster(async (cluster) => {
-    // Symptom: for a moment a new daemon serves permissions that were taken back an hour ago.
-    // Sequence: the table is down; a daemon boots before it knows any peer, and loads the snapshot of the
-    // hour before; then it hears a peer with a higher revision.
-    // Cause: the snapshot is made now and then, and looks like a configuration.
+    // Guards against serving revoked permissions after booting from an old snapshot while the table
+    // is down and before hearing from a peer with a higher revision.
     const old = cluster.addDaemon('a1', { maintenanceMs: 1_000 });
     await cluster.advance(3_000);
     await applyTeam(cluster, old, 0.1);
     await cluster.advance(3_000);
     await applyTeam(cluster, old, 0.2);
     await cluster.advance(3_000);
-    keepOnly(cluster.objectStore, 1);
+    retainOnlySnapshot(cluster.objectStore, 1);
     cluster.table.inject({ isDown: true });
-    cluster.cutOff.add('b');
+    cluster.partitioned.add('b');
     const fresh = cluster.addDaemon('b1');
     await cluster.advance(2_000);
     assert.is(getTarget(fresh), 0.1);
     assert.is(fresh.replica.getStatus().hasConfiguration, false);
-    cluster.cutOff.clear();
+    cluster.partitioned.clear();
     for (let steps = 0; steps < 100; steps += 1) {
       await cluster.advance(100);
       const { hasConfiguration, revision } = fresh.replica.getStatus();
       assert.ok(!hasConfiguration || revision === 2);
     }
     assert.is(fresh.replica.getStatus().hasConfiguration, true);
-    cluster.cutOff.add('c');
-    keepOnly(cluster.objectStore, 1);
+    cluster.partitioned.add('c');
+    retainOnlySnapshot(cluster.objectStore, 1);
     const alone = cluster.addDaemon('c1');
     await cluster.advance(30_000);
     assert.equal(
@@ -193,16 +187,15 @@
 );
 
 test(
-  'a daemon whose history the table has pruned takes the whole state',
+  'a daemon loads a full snapshot if the table has pruned the changes it missed',
   withCluster(async (cluster) => {
-    // Symptom: a daemon stays behind for good, asking for changes that are gone.
-    // Sequence: it is cut off while more changes are made than the table keeps.
-    // Cause: change rows are pruned.
-    const settings = { keptChanges: 2, maintenanceMs: 500 };
-    const [first, far] = [cluster.addDaemon('a1', settings), cluster.addDaemon('b1', settings)];
+    // Guards against a daemon that stays behind forever because the changes it missed during a
+    // partition have been pruned.
+    const settings = { retainedChanges: 2, maintenanceMs: 500 };
+    const [first, remote] = [cluster.addDaemon('a1', settings), cluster.addDaemon('b1', settings)];
     await cluster.advance(3_000);
     await applyTeam(cluster, first, 0.01);
-    cluster.cutOff.add('b');
+    cluster.partitioned.add('b');
     for (let index = 2; index <= 8; index += 1) {
       await applyTeam(cluster, first, index / 100);
     }
@@ -211,15 +204,15 @@
     assert.is(keys.filter((key) => key.startsWith(CHANGE_PREFIX)).length, 2);
     assert.is(keys.filter((key) => key.startsWith(REQUEST_PREFIX)).length, 2);
     cluster.kill(first);
-    cluster.cutOff.clear();
+    cluster.partitioned.clear();
     await cluster.advance(15_000);
-    assert.is(getTarget(far), 0.08);
-    assert.is(far.replica.listChanges(1), undefined);
+    assert.is(getTarget(remote), 0.08);
+    assert.is(remote.replica.listChanges(1), undefined);
   }),
 );
 
 test(
-  'reads of all daemons and gossip stay within the budget at full size',
+  'table reads and gossip stay within their budgets with 399 daemons',
   withCluster(async (cluster) => {
     const dataCentres = ['a', 'b', 'c', 'd', 'e', 'f', 'g'];
     const vms = Array.from({ length: 399 }, (_, index) => `${dataCentres[index % 7]}${index}`);
--- a/packages/configuration/src/configurationReplica.ts
+++ b/packages/configuration/src/configurationReplica.ts
@@ -1,4 +1,4 @@
-/** The configuration of one daemon, put together from its parts. */
+/** Wires the parts of the configuration of one daemon together. */
 import { sleep, type ActorSystem, type Logger, type Random } from '@snipehaven/common';
 import type { GossipTopic, MembershipView } from '@snipehaven/membership';
 import type { ObjectStoreClient, TableClient } from '@snipehaven/platform';
@@ -30,7 +30,7 @@
 import { Poller } from './poller.js';
 import { Readiness } from './readiness.js';
 import { ReplicaState } from './replicaState.js';
-import { guardForm, restoreChange } from './restoreChange.js';
+import { checkFormat, restoreChange } from './restoreChange.js';
 import { RevisionReports } from './revisionReports.js';
 import { RevisionTopic } from './revisionTopic.js';
 import { SafeMoveRegistry } from './safeMoves/safeMoveRegistry.js';
@@ -57,22 +57,25 @@
   readonly logger: Logger;
   readonly random: Random;
   readonly actorSystem: ActorSystem;
-  /** Replaces the usual state; proofs take away its order of revisions and expect a violation. */
+  /**
+   * Replaces the default state; used by proofs that disable the revision order and expect a
+   * violation.
+   */
   readonly state?: ReplicaState;
-  /** Departures from the defaults. */
+  /** Overrides of the default settings. */
   readonly settings?: Partial<ConfigurationSettings>;
 }
 
 const STALE_CHECK_MS = 1_000;
 
 export class ConfigurationReplica implements ConfigurationStore {
-  /** Marks that any daemon may set at once; boots, spreads and stops with the replica. */
+  /** Safe moves; loaded, propagated and stopped together with the replica. */
   readonly safeMoves: SafeMoveRegistry;
 
-  /** What membership carries along with its exchanges. */
+  /** Gossip topics to register with membership. */
   readonly topics: readonly GossipTopic[];
 
-  /** What this daemon answers to its peers. */
+  /** Handlers for requests of peers. */
   readonly handlers: ConfigurationHandlers;
 
   readonly #options: ConfigurationReplicaOptions;
@@ -99,20 +102,20 @@
 
   readonly #maintenance: Maintenance;
 
-  #running = new AbortController();
+  #abortController = new AbortController();
 
   #wasStale = false;
 
-  #endPauseWatch: () => void = () => undefined;
+  #unsubscribePause: () => void = () => undefined;
 
   constructor(options: ConfigurationReplicaOptions) {
     this.#options = options;
     this.#settings = { ...DEFAULT_SETTINGS, ...options.settings };
     const base = { ...options, settings: this.#settings };
     this.safeMoves = new SafeMoveRegistry(base);
-    this.#state = options.state ?? new ReplicaState(this.#settings.keptChanges, options.logger);
+    this.#state = options.state ?? new ReplicaState(this.#settings.retainedChanges, options.logger);
     this.#readiness = new Readiness(this.#state, this.#contact, this.#settings);
-    this.#reports = new RevisionReports(options.membership, this.#settings.reportFreshMs);
+    this.#reports = new RevisionReports(options.membership, this.#settings.gossipRepeatMs);
     const reader = new TableReader(options.table);
     const parts = { ...base, reader, state: this.#state, contact: this.#contact };
     this.#synchroniser = new Synchroniser({ ...parts, safeMoves: this.safeMoves.state });
@@ -125,13 +128,13 @@
       ...parts,
       synchroniser,
       isLoaded: () => this.#readiness.isLoaded,
-      spread: (changes) => this.#fanOut.spread(changes),
+      broadcast: (changes) => this.#fanOut.broadcast(changes),
     });
     const snapshots = new SnapshotStore({
       ...parts,
       safeMoves: this.safeMoves.state,
       vm: options.membership.self.vm,
-      keptSnapshots: this.#settings.keptSnapshots,
+      retainedSnapshots: this.#settings.retainedSnapshots,
     });
     this.#bootstrapper = new Bootstrapper({
       ...parts,
@@ -143,7 +146,7 @@
     this.#poller = new Poller({
       ...parts,
       synchroniser,
-      passOn: (changes) => this.#fanOut.passOn(changes),
+      broadcastLocally: (changes) => this.#fanOut.broadcastLocally(changes),
       loadSafeMoves: () => this.safeMoves.table.load(),
     });
     this.#maintenance = new Maintenance({ ...parts, readiness: this.#readiness, snapshots });
@@ -162,20 +165,20 @@
     this.#state.onChange((changes) => this.#recordApplied(changes));
   }
 
-  /** Starts loading and keeping up; readiness shows in the status. */
+  /** Starts to load the configuration and keep it up to date; the status shows the readiness. */
   start(): void {
-    this.#running = new AbortController();
-    const { signal } = this.#running;
+    this.#abortController = new AbortController();
+    const { signal } = this.#abortController;
     void this.#run(signal);
     void this.safeMoves.run(signal);
     void this.#maintenance.run(signal);
-    void this.#watchStaleness(signal);
-    this.#endPauseWatch = this.#options.membership.onPause(() => this.#contact.noteResumed());
+    void this.#monitorStaleness(signal);
+    this.#unsubscribePause = this.#options.membership.onPause(() => this.#contact.recordResume());
   }
 
   stop(): void {
-    this.#running.abort();
-    this.#endPauseWatch();
+    this.#abortController.abort();
+    this.#unsubscribePause();
     this.#writer.stop();
   }
 
@@ -193,7 +196,7 @@
     };
   }
 
-  /** How far a single revision has come, such as the resourceVersion of a resource. */
+  /** Propagation of a single revision, such as the resourceVersion of a resource. */
   getInForce(revision: number): InForceStatus {
     return this.#reports.getInForce(revision, this.#state.revision);
   }
@@ -207,7 +210,7 @@
     }
     const written = await this.#write(kind, name, { ...options, ...version }, spec);
     if (!written) {
-      throw new ConfigurationUnavailableError(`${kind} ${name} was deleted meanwhile`);
+      throw new ConfigurationUnavailableError(`${kind} ${name} was deleted concurrently`);
     }
     return written;
   }
@@ -259,7 +262,7 @@
     const peer = transport.getPeer(member.address);
     const from = membership.self.address;
     const answer = await peer.configuration.pushChanges({ from, changes: [...changes], isRelay });
-    const pushed = guardForm('answer to a push', () => pushedChangesSchema.parse(answer));
+    const pushed = checkFormat('response to a push', () => pushedChangesSchema.parse(answer));
     this.#reports.observeMember(member, pushed.appliedRevision);
     if (pushed.report) {
       this.#reports.observeReport(pushed.report);
@@ -275,14 +278,17 @@
     if (!isRelay) {
       return { appliedRevision: this.#state.revision };
     }
-    await Promise.race([this.#fanOut.passOn(restored), sleep(this.#settings.relayWaitMs)]);
+    await Promise.race([
+      this.#fanOut.broadcastLocally(restored),
+      sleep(this.#settings.relayWaitMs),
+    ]);
     const { revision } = this.#state;
     return { appliedRevision: revision, report: this.#reports.buildOwnReport(revision) };
   }
 
   async #handleFetch({ afterRevision, withSafeMoves }: FetchChanges): Promise<FetchedChanges> {
     if (!this.#readiness.hasConfiguration()) {
-      throw new ConfigurationUnavailableError('no configuration is in force here yet');
+      throw new ConfigurationUnavailableError('this daemon has no configuration yet');
     }
     const { view, headRevision } = this.#state;
     const base = {
@@ -295,7 +301,7 @@
       : { ...base, kind: 'snapshot', revision: view.revision, resources: [...view.listAll()] };
   }
 
-  async #watchStaleness(signal: AbortSignal): Promise<void> {
+  async #monitorStaleness(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
       const isStale = this.#contact.isStale(this.#settings.staleAfterMs);
       if (isStale && !this.#wasStale) {
@@ -308,7 +314,10 @@
     }
   }
 
-  /** One event however many changes came at once: a boot must not push all else out of the ring. */
+  /**
+   * Records one event for all changes applied together, so that booting does not push all other
+   * events out of the ring buffer.
+   */
   #recordApplied(changes: readonly ResourceChange[]): void {
     const { revision } = this.#state;
     const [first] = changes;
--- a/packages/configuration/src/constants.ts
+++ b/packages/configuration/src/constants.ts
@@ -1,53 +1,59 @@
-/** Keys, bounds and default settings of the configuration. */
+/** Keys, limits and default settings of the configuration. */
 
-/** The row that holds the head revision; every write of a resource raises it. */
+/** Row with the head revision, which every write of a resource increments. */
 export const HEAD_KEY = 'configurationHead';
 export const RESOURCE_PREFIX = 'resource/';
 export const CHANGE_PREFIX = 'change/';
-/** Rows that remember which client request wrote which revision. */
+/** Rows that map client request ids to the revisions they wrote. */
 export const REQUEST_PREFIX = 'configurationRequest/';
 export const SAFE_MOVE_PREFIX = 'safeMove/';
 export const SNAPSHOT_PREFIX = 'configuration/snapshot/';
 
-/** Digits of a revision in a key, so that the order of keys is that of revisions. */
+/** Digits of a revision in a key; padding makes keys sort by revision. */
 export const REVISION_DIGITS = 12;
 
 export const SCAN_LIMIT = 500;
-/** Changes in one answer to a peer. */
+/** Maximum number of changes in one response to a peer. */
 export const FETCH_LIMIT = 500;
-/** Changes ahead of their turn that are kept until the gap closes. */
+/** Out-of-order changes buffered until the gap before them closes. */
 export const MAX_PENDING_CHANGES = 4_096;
 export const UID_DIGITS = 12;
 
-/** Settings of the replica; times in milliseconds. */
+/** Settings of the replica. */
 export interface ConfigurationSettings {
-  /** Reads of the head row that all daemons together may make each second. */
+  /** Reads of the head row per second by all daemons together. */
   readonly pollReadsPerSecond: number;
-  /** Poll interval of the daemon that polls for its data centre, and of small deployments. */
+  /**
+   * Poll interval of the polling daemon of each data centre, and of all daemons in small
+   * deployments.
+   */
   readonly minPollMs: number;
   readonly maxPollBackoffMs: number;
-  /** Without contact for longer, the configuration counts as stale. */
+  /** The configuration is stale after this long without contact to the table. */
   readonly staleAfterMs: number;
-  /** Without anyone who knows more for longer, a booting daemon serves what it has. */
-  readonly cutOffAfterMs: number;
-  /** How long a booting daemon waits to hear of a peer before it trusts the table alone. */
+  /**
+   * A booting daemon serves what it has after hearing from no source with a newer revision for this
+   * long.
+   */
+  readonly isolatedAfterMs: number;
+  /** How long a booting daemon waits to hear from a peer before it relies on the table alone. */
   readonly peerGraceMs: number;
   readonly bootRetryMs: number;
-  /** How long a write is tried before it is refused. */
+  /** How long a write is retried before it is rejected. */
   readonly writeDeadlineMs: number;
   readonly retryBaseMs: number;
   readonly retryMaxMs: number;
-  /** Change rows kept in the table, and changes kept in memory for watchers and peers. */
-  readonly keptChanges: number;
-  /** Change rows that one round of the duty deletes at most. */
-  readonly prunedPerRound: number;
+  /** Change rows retained in the table, and changes retained in memory for watchers and peers. */
+  readonly retainedChanges: number;
+  /** Maximum number of change rows deleted per maintenance run. */
+  readonly maxPrunedPerRun: number;
   readonly maintenanceMs: number;
-  readonly keptSnapshots: number;
-  /** How long a relay waits for its data centre before it answers. */
+  readonly retainedSnapshots: number;
+  /** How long a relay waits for the peers of its data centre before it responds. */
   readonly relayWaitMs: number;
-  /** How long an applied revision is repeated in gossip after it changed. */
-  readonly reportFreshMs: number;
-  /** How long `activate` waits for the table before it says `notDurableYet`. */
+  /** How long gossip repeats an applied revision or a safe move after it changed. */
+  readonly gossipRepeatMs: number;
+  /** How long `activate` waits for the table before it returns `notDurableYet`. */
   readonly durableWaitMs: number;
   readonly safeMoveRepairMs: number;
 }
@@ -57,18 +63,18 @@
   minPollMs: 1_000,
   maxPollBackoffMs: 10_000,
   staleAfterMs: 20_000,
-  cutOffAfterMs: 5_000,
+  isolatedAfterMs: 5_000,
   peerGraceMs: 1_000,
   bootRetryMs: 250,
   writeDeadlineMs: 5_000,
   retryBaseMs: 10,
   retryMaxMs: 500,
-  keptChanges: 2_000,
-  prunedPerRound: 50,
+  retainedChanges: 2_000,
+  maxPrunedPerRun: 50,
   maintenanceMs: 30_000,
-  keptSnapshots: 3,
+  retainedSnapshots: 3,
   relayWaitMs: 400,
-  reportFreshMs: 3_000,
+  gossipRepeatMs: 3_000,
   durableWaitMs: 500,
   safeMoveRepairMs: 2_000,
 };
--- a/packages/configuration/src/contactTracker.ts
+++ b/packages/configuration/src/contactTracker.ts
@@ -1,10 +1,12 @@
-/** When this daemon last heard from whom; all moments by the runtime's clock. */
+/** Tracks when this daemon last heard from the table and from its peers, by the local clock. */
 
-/** What one message of gossip tells of its sender. */
+/** Contact information in a gossip message about its sender. */
 export interface PeerContact {
-  /** It has a configuration, and contact with the table at first or second hand. */
+  /**
+   * The sender has a configuration, and recent contact with the table, directly or through a peer.
+   */
   readonly isInContact: boolean;
-  /** It has applied more than this daemon. */
+  /** The sender has applied a higher revision than this daemon. */
   readonly isAhead: boolean;
   readonly tableAgeMs: number | undefined;
 }
@@ -12,71 +14,71 @@
 export class ContactTracker {
   readonly startedAtMs = Date.now();
 
-  /** When the table last answered this daemon or one that it heard from. */
-  #tableKnownAtMs: number | undefined;
+  /** Last time at which the table is known to have answered this daemon or a peer. */
+  #tableContactAtMs: number | undefined;
 
-  /** When this daemon last heard from anyone who could have a higher revision. */
-  #aheadAtMs = this.startedAtMs;
+  /** Last time at which this daemon heard from a source that may have a higher revision. */
+  #newerSourceHeardAtMs = this.startedAtMs;
 
   #hasHeardPeer = false;
 
   #isConfirmed = false;
 
-  /** Whether any peer has been heard since the start. */
+  /** Whether any peer has been heard from since the start. */
   get hasHeardPeer(): boolean {
     return this.#hasHeardPeer;
   }
 
-  /** Whether the table, or a peer in contact with it, has been heard since the start. */
+  /** Whether the table, or a peer in contact with it, has been heard from since the start. */
   get isConfirmed(): boolean {
     return this.#isConfirmed;
   }
 
-  noteTable(): void {
-    this.#tableKnownAtMs = Date.now();
-    this.#aheadAtMs = Date.now();
+  recordTableContact(): void {
+    this.#tableContactAtMs = Date.now();
+    this.#newerSourceHeardAtMs = Date.now();
     this.#isConfirmed = true;
   }
 
   /**
-   * Starts the wait for others anew: a process that was frozen while it booted has not been cut off, it
-   * has not listened.
+   * Restarts the isolation timer: a process that was frozen while booting was not isolated, it
+   * merely did not listen.
    */
-  noteResumed(): void {
-    this.#aheadAtMs = Date.now();
+  recordResume(): void {
+    this.#newerSourceHeardAtMs = Date.now();
   }
 
-  /** Notes that a peer answered, without a word on whom it reaches. */
-  noteAnswer(): void {
+  /** Records an answer of a peer, which says nothing about whom the peer can reach. */
+  recordPeerAnswer(): void {
     this.#hasHeardPeer = true;
   }
 
   /**
-   * Notes a peer's gossip; `tableAgeMs` tells how long ago it knew the table to answer. A peer confirms a
-   * configuration only while it is in contact itself: one that is cut off may have booted from an old
-   * snapshot.
+   * Records gossip of a peer; `tableAgeMs` is the time since it knew the table to answer. A peer
+   * confirms a configuration only while it is itself in contact with the table, because an isolated
+   * peer may have booted from an old snapshot.
    */
-  notePeer({ isInContact, isAhead, tableAgeMs }: PeerContact): void {
+  recordPeerGossip({ isInContact, isAhead, tableAgeMs }: PeerContact): void {
     this.#hasHeardPeer = true;
     this.#isConfirmed ||= isInContact;
     if (isAhead) {
-      this.#aheadAtMs = Date.now();
+      this.#newerSourceHeardAtMs = Date.now();
     }
     if (tableAgeMs !== undefined) {
-      this.#tableKnownAtMs = Math.max(this.#tableKnownAtMs ?? 0, Date.now() - tableAgeMs);
+      this.#tableContactAtMs = Math.max(this.#tableContactAtMs ?? 0, Date.now() - tableAgeMs);
     }
   }
 
-  /** How long ago the table was known to answer; undefined: never. */
+  /** Time since the table was known to answer; undefined if it never was. */
   getTableAgeMs(): number | undefined {
-    return this.#tableKnownAtMs === undefined
+    return this.#tableContactAtMs === undefined
       ? undefined
-      : Math.max(0, Date.now() - this.#tableKnownAtMs);
+      : Math.max(0, Date.now() - this.#tableContactAtMs);
   }
 
-  /** How long nobody who may know more has been heard. */
-  getAloneMs(): number {
-    return Date.now() - this.#aheadAtMs;
+  /** Time since this daemon heard from a source that may have a higher revision. */
+  getIsolatedMs(): number {
+    return Date.now() - this.#newerSourceHeardAtMs;
   }
 
   isStale(staleAfterMs: number): boolean {
--- a/packages/configuration/src/fanOut.ts
+++ b/packages/configuration/src/fanOut.ts
@@ -1,9 +1,9 @@
-/** Sends items at once to all peers of the data centre and to one relay of each other one. */
+/** Sends items to all peers of the data centre and to one relay of each remote data centre. */
 import { getErrorMessage, pickRandom, type Logger, type Random } from '@snipehaven/common';
 import type { MembershipView } from '@snipehaven/membership';
 import type { Member } from '@snipehaven/protocol';
 
-/** Sends a batch to one peer; rejects when the peer cannot be reached. */
+/** Sends a batch to one peer; rejects if the peer is unreachable. */
 export type SendItems<Item> = (
   member: Member,
   items: readonly Item[],
@@ -17,14 +17,16 @@
   readonly logger: Logger;
 }
 
-/** What waits for one peer; a peer is sent to once at a time, so that bursts go as batches. */
+/** Items queued for one peer. Only one send per peer runs at a time, so bursts are batched. */
 interface Outbox<Item> {
   items: Item[];
-  running: Promise<void>;
+  drained: Promise<void>;
 }
 
-/** A peer that stays silent gets no longer backlog than this; anti-entropy gives it the rest. */
-const MAX_WAITING_ITEMS = 1_000;
+/**
+ * Maximum queue length for a peer that does not answer; it receives the rest through anti-entropy.
+ */
+const MAX_QUEUED_ITEMS = 1_000;
 
 export class FanOut<Item> {
   readonly #options: FanOutOptions<Item>;
@@ -35,16 +37,16 @@
     this.#options = options;
   }
 
-  /** Sends to the data centre and to the relays of the others. */
-  spread(items: readonly Item[]): void {
-    void this.passOn(items);
+  /** Sends to the peers of this data centre and to the relays of the others. */
+  broadcast(items: readonly Item[]): void {
+    void this.broadcastLocally(items);
     this.#options.membership.listRelays().forEach((relay) => {
       void this.#sendToRelay(relay, items);
     });
   }
 
-  /** Sends to the peers of the own data centre; resolves when all were tried. */
-  async passOn(items: readonly Item[]): Promise<void> {
+  /** Sends to the peers of this data centre; resolves once all sends have completed or failed. */
+  async broadcastLocally(items: readonly Item[]): Promise<void> {
     const { membership } = this.#options;
     const peers = membership
       .listLocal()
@@ -53,22 +55,22 @@
   }
 
   /**
-   * A relay that has just died would leave its whole data centre to wait for anti-entropy; one other
-   * member is tried in its place.
+   * If the relay has just died, its data centre would have to wait for anti-entropy, so one other
+   * member is tried.
    */
   async #sendToRelay(relay: Member, items: readonly Item[]): Promise<void> {
     try {
       await this.#options.send(relay, items, true);
     } catch (error) {
       this.#logFailure(relay, error);
-      const other = this.#pickOther(relay);
-      if (other) {
-        await this.#trySend(other, items, true);
+      const alternative = this.#pickAlternative(relay);
+      if (alternative) {
+        await this.#trySend(alternative, items, true);
       }
     }
   }
 
-  #pickOther(relay: Member): Member | undefined {
+  #pickAlternative(relay: Member): Member | undefined {
     const { membership, random } = this.#options;
     const others = membership
       .listAlive()
@@ -80,13 +82,13 @@
   #enqueue(member: Member, items: readonly Item[]): Promise<void> {
     const present = this.#outboxes.get(member.address);
     if (present) {
-      present.items = [...present.items, ...items].slice(0, MAX_WAITING_ITEMS);
-      return present.running;
+      present.items = [...present.items, ...items].slice(0, MAX_QUEUED_ITEMS);
+      return present.drained;
     }
-    const outbox: Outbox<Item> = { items: [...items], running: Promise.resolve() };
+    const outbox: Outbox<Item> = { items: [...items], drained: Promise.resolve() };
     this.#outboxes.set(member.address, outbox);
-    outbox.running = this.#drain(member, outbox);
-    return outbox.running;
+    outbox.drained = this.#drain(member, outbox);
+    return outbox.drained;
   }
 
   async #drain(member: Member, outbox: Outbox<Item>): Promise<void> {
@@ -106,6 +108,9 @@
   }
 
   #logFailure({ address }: Member, error: unknown): void {
-    this.#options.logger.debug({ address, fault: getErrorMessage(error) }, 'push failed');
+    this.#options.logger.debug(
+      { address, fault: getErrorMessage(error) },
+      'could not push to the peer',
+    );
   }
 }
--- a/packages/configuration/src/maintenance.ts
+++ b/packages/configuration/src/maintenance.ts
@@ -1,4 +1,4 @@
-/** The duty that saves snapshots and prunes old rows. */
+/** Periodic maintenance: saves snapshots and prunes old rows. */
 import { getErrorMessage, getRendezvousOwner, type Logger, type Random } from '@snipehaven/common';
 import type { MembershipView } from '@snipehaven/membership';
 import type { TableClient, TableRow } from '@snipehaven/platform';
@@ -22,7 +22,10 @@
 
 const DUTY = 'configurationMaintenance';
 
-/** Done by one daemon of all; two that both take themselves for it do no harm. */
+/**
+ * Runs on one daemon of the cluster; if two consider themselves the owner, their work is redundant
+ * but harmless.
+ */
 export class Maintenance {
   readonly #options: MaintenanceOptions;
 
@@ -33,17 +36,17 @@
   run(signal: AbortSignal): Promise<void> {
     return runRepeatedly(async () => {
       if (this.#isOwner() && this.#options.readiness.hasConfiguration()) {
-        await this.#attempt('snapshot', () => this.#options.snapshots.save());
-        await this.#attempt('pruning', () => this.prune());
+        await this.#runJob('snapshot', () => this.#options.snapshots.save());
+        await this.#runJob('pruning', () => this.prune());
       }
       return this.#getWaitMs();
     }, signal);
   }
 
-  /** Deletes the oldest change rows beyond those kept, with their request rows. */
+  /** Deletes change rows beyond the retained ones, with their request rows. */
   async prune(): Promise<void> {
     const { table, settings } = this.#options;
-    const rows = await table.scan({ prefix: CHANGE_PREFIX, limit: settings.prunedPerRound });
+    const rows = await table.scan({ prefix: CHANGE_PREFIX, limit: settings.maxPrunedPerRun });
     const old = rows.filter((row) => this.#isOld(row));
     if (old.length > 0) {
       const keys = old.flatMap((row) => [
@@ -56,7 +59,7 @@
 
   #isOld(row: TableRow): boolean {
     const { state, settings } = this.#options;
-    return restoreChangeRow(row).change.revision <= state.revision - settings.keptChanges;
+    return restoreChangeRow(row).change.revision <= state.revision - settings.retainedChanges;
   }
 
   #isOwner(): boolean {
@@ -65,11 +68,11 @@
     return getRendezvousOwner(DUTY, incarnations) === membership.self.incarnation;
   }
 
-  async #attempt(job: string, run: () => Promise<void>): Promise<void> {
+  async #runJob(job: string, run: () => Promise<void>): Promise<void> {
     try {
       await run();
     } catch (error) {
-      this.#options.logger.warn({ job, fault: getErrorMessage(error) }, 'maintenance failed');
+      this.#options.logger.warn({ job, fault: getErrorMessage(error) }, 'maintenance job failed');
     }
   }
 
--- a/packages/configuration/src/poller.ts
+++ b/packages/configuration/src/poller.ts
@@ -1,4 +1,4 @@
-/** Polls the head row of the table. */
+/** Polls the head row of the table for new revisions. */
 import { getErrorMessage, type Logger, type Random } from '@snipehaven/common';
 import type { MembershipView } from '@snipehaven/membership';
 import type { ResourceChange } from '@snipehaven/resources';
@@ -18,15 +18,15 @@
   readonly random: Random;
   readonly logger: Logger;
   readonly settings: ConfigurationSettings;
-  /** Gives changes that no push brought to the peers of the data centre. */
-  readonly passOn: (changes: readonly ResourceChange[]) => Promise<void>;
-  /** Reads all safe moves from the table. */
+  /** Sends changes that were found by polling to the peers in the data centre. */
+  readonly broadcastLocally: (changes: readonly ResourceChange[]) => Promise<void>;
+  /** Loads all safe moves from the table. */
   readonly loadSafeMoves: () => Promise<void>;
 }
 
 export const POLL_DUTY = 'configurationPoll';
 const MS_PER_SECOND = 1_000;
-/** How much of the highest member count remains after each poll. */
+/** Decay factor of the peak member count per poll. */
 const PEAK_DECAY = 0.99;
 const JITTER = 0.25;
 
@@ -34,16 +34,19 @@
   readonly #options: PollerOptions;
 
   /**
-   * What goes wrong: data centres lose each other, each counts its own members alone, and all poll as
-   * often as a small deployment may; the table gets several times its share. The interval therefore
-   * follows the highest count of the last minutes.
+   * If data centres are partitioned from each other, each sees only its own members, and all would
+   * poll as often as a small deployment, which exceeds the read budget of the table several times
+   * over. The interval therefore uses a slowly decaying peak of the member count.
    */
   #peakMembers = 1;
 
   #failures = 0;
 
-  /** After an outage, and after a boot from elsewhere, the table may know of more withdrawals. */
-  #needsSafeMoves = true;
+  /**
+   * Set after an outage, and after booting from another source, when the table may contain
+   * withdrawals unknown here.
+   */
+  #mustLoadSafeMoves = true;
 
   constructor(options: PollerOptions) {
     this.#options = options;
@@ -56,7 +59,7 @@
     }, signal);
   }
 
-  /** The mean wait between polls of this daemon. */
+  /** Mean interval between the polls of this daemon. */
   getIntervalMs(): number {
     const { membership, settings } = this.#options;
     const members = membership.listAlive().length;
@@ -81,27 +84,27 @@
 
   async #poll(): Promise<void> {
     try {
-      await this.#readSafeMoves();
-      await this.#compareHead();
+      await this.#loadSafeMovesIfNeeded();
+      await this.#checkHead();
       this.#failures = 0;
     } catch (error) {
       this.#failures += 1;
-      this.#needsSafeMoves = true;
-      this.#options.logger.warn({ fault: getErrorMessage(error) }, 'polling the table failed');
+      this.#mustLoadSafeMoves = true;
+      this.#options.logger.warn({ fault: getErrorMessage(error) }, 'could not poll the table');
     }
   }
 
-  async #readSafeMoves(): Promise<void> {
-    if (this.#needsSafeMoves) {
+  async #loadSafeMovesIfNeeded(): Promise<void> {
+    if (this.#mustLoadSafeMoves) {
       await this.#options.loadSafeMoves();
-      this.#needsSafeMoves = false;
+      this.#mustLoadSafeMoves = false;
     }
   }
 
-  async #compareHead(): Promise<void> {
+  async #checkHead(): Promise<void> {
     const { reader, state, contact } = this.#options;
     const head = await reader.readHead();
-    contact.noteTable();
+    contact.recordTableContact();
     state.observeHead(head.revision);
     if (head.revision > state.revision) {
       await this.#catchUp(head.revision);
@@ -109,12 +112,12 @@
   }
 
   async #catchUp(headRevision: number): Promise<void> {
-    const { state, synchroniser, membership, passOn } = this.#options;
+    const { state, synchroniser, membership, broadcastLocally } = this.#options;
     const before = state.revision;
     await synchroniser.catchUpTo(headRevision);
     const changes = state.listChanges(before);
     if (changes && changes.length > 0 && membership.ownsDuty(POLL_DUTY)) {
-      await passOn(changes);
+      await broadcastLocally(changes);
     }
   }
 }
--- a/packages/configuration/src/readiness.ts
+++ b/packages/configuration/src/readiness.ts
@@ -1,14 +1,13 @@
-/** Decides when a booted daemon may serve. */
+/** Decides when a booting daemon may serve requests. */
 import type { ConfigurationSettings } from './constants.js';
 import type { ContactTracker } from './contactTracker.js';
 import type { ReplicaState } from './replicaState.js';
 
 /**
- * What goes wrong: a new daemon loads an old snapshot while its peers are further; it would run requests
- * under permissions that were taken back. One notices answers by versions that a team no longer allows.
- * It is therefore not ready before it has reached the highest revision that it heard of from anyone, and
- * has asked someone besides the object store; only when nobody who knows more answers for a while, it
- * serves what it has.
+ * A new daemon might load an old snapshot while its peers have newer revisions, and run requests
+ * under permissions that have been revoked. It therefore becomes ready only after it has reached
+ * the highest revision it heard of and has contacted a source other than the object store. Only if
+ * nobody with a newer revision can be reached for `isolatedAfterMs` does it serve what it has.
  */
 export class Readiness {
   readonly #state: ReplicaState;
@@ -27,18 +26,18 @@
     this.#settings = settings;
   }
 
-  /** Whether any source has given a configuration. */
+  /** Whether a configuration was loaded from any source. */
   get isLoaded(): boolean {
     return this.#isLoaded;
   }
 
-  noteLoaded(): void {
+  markLoaded(): void {
     this.#isLoaded = true;
   }
 
-  /** Once true it stays so: a daemon that serves goes on while it catches up. */
+  /** Stays true once it was true: a serving daemon continues to serve while it catches up. */
   hasConfiguration(): boolean {
-    this.#isReady ||= this.#isLoaded && (this.#isCaughtUp() || this.#isCutOff());
+    this.#isReady ||= this.#isLoaded && (this.#isCaughtUp() || this.#isIsolated());
     return this.#isReady;
   }
 
@@ -48,7 +47,7 @@
     return isConfirmed && !this.#state.isBehind && (hasHeardPeer || hasWaited);
   }
 
-  #isCutOff(): boolean {
-    return this.#contact.getAloneMs() > this.#settings.cutOffAfterMs;
+  #isIsolated(): boolean {
+    return this.#contact.getIsolatedMs() > this.#settings.isolatedAfterMs;
   }
 }
--- a/packages/configuration/src/references.ts
+++ b/packages/configuration/src/references.ts
@@ -1,4 +1,4 @@
-/** Rules between resources, checked against the configuration that a write builds on. */
+/** Validates references between resources against the configuration that a write is based on. */
 import { getModelOfVersion, asId, type VersionId } from '@snipehaven/common';
 import {
   ResourceInvalidError,
@@ -51,7 +51,7 @@
   ...checkStages(spec),
 ];
 
-/** A key that two teams share would bill the calls of one to the other. */
+/** A key shared by two teams would bill calls of one team to the other. */
 const checkTeam: ReferenceRule<'Team'> = (spec: TeamSpec, name, view) =>
   spec.keys.flatMap(({ sha256 }, index) =>
     view
@@ -81,7 +81,7 @@
   Withdrawal: acceptAll,
 };
 
-/** Throws ResourceInvalidError that names the path and the rule of each broken reference. */
+/** Throws ResourceInvalidError with the path and rule of each invalid reference. */
 export const checkReferences = (manifest: ResourceManifest, view: ConfigurationView): void => {
   const { kind, name, spec } = manifest;
   const check = referenceRules[kind] as ReferenceRule<Kind>;
@@ -91,7 +91,7 @@
   }
 };
 
-/** Throws ResourceInvalidError while another resource still needs the one to delete. */
+/** Throws ResourceInvalidError if another resource refers to the one to delete. */
 export const checkNotReferenced = (kind: Kind, name: string, view: ConfigurationView): void => {
   if (kind !== 'ModelVersion') {
     return;
--- a/packages/configuration/src/replicaState.test.ts
+++ b/packages/configuration/src/replicaState.test.ts
@@ -6,12 +6,12 @@
 import { ReplicaState } from './replicaState.js';
 import { buildTeam } from './testKit.js';
 
-const KEPT_CHANGES = 5;
+const RETAINED_CHANGES = 5;
 const NAMES = ['a', 'b', 'c'];
 
 setInvariantsFatal(true);
 
-const createState = (): ReplicaState => new ReplicaState(KEPT_CHANGES, createSilentLogger());
+const createState = (): ReplicaState => new ReplicaState(RETAINED_CHANGES, createSilentLogger());
 
 const buildResource = (name: string, revision: number): Resource => ({
   kind: 'Team',
@@ -26,7 +26,7 @@
   spec: buildTeam(name, 'a').spec,
 });
 
-/** A history in which each third change deletes. */
+/** Builds a history in which every third change deletes a resource. */
 const buildChanges = (count: number): readonly ResourceChange[] =>
   Array.from({ length: count }, (_, index) => {
     const revision = index + 1;
@@ -35,32 +35,30 @@
     return revision % 3 === 0 ? change : { ...change, resource: buildResource(name, revision) };
   });
 
-test('applies changes in unbroken order only', () => {
-  // Symptom: a team's old permissions come back for a moment.
-  // Sequence: changes 3 and 2 overtake change 1; 1 and 2 come again after 3.
-  // Cause: pushes, fetches and polls run side by side over different connections.
+test('applies changes only in gapless order', () => {
+  // Guards against briefly restoring old permissions when pushes, fetches and polls over different
+  // connections deliver changes out of order or twice.
   const [first, second, third] = buildChanges(3) as [
     ResourceChange,
     ResourceChange,
     ResourceChange,
   ];
   const state = createState();
-  const heard: number[] = [];
-  state.onChange((changes) => heard.push(...changes.map(({ revision }) => revision)));
+  const received: number[] = [];
+  state.onChange((changes) => received.push(...changes.map(({ revision }) => revision)));
   state.applyChanges([third]);
   state.applyChanges([second, third]);
   assert.is(state.revision, 0);
   assert.is(state.headRevision, 3);
   state.applyChanges([first]);
   state.applyChanges([second, first]);
-  assert.equal(heard, [1, 2, 3]);
+  assert.equal(received, [1, 2, 3]);
   assert.is(state.revision, 3);
 });
 
-test('ignores a snapshot that is older than what it has', () => {
-  // Symptom: a daemon goes back by minutes.
-  // Sequence: it catches up from a peer while a snapshot is on its way; the snapshot arrives last.
-  // Cause: object stores answer late, and snapshots are made now and then only.
+test('ignores a snapshot older than the current state', () => {
+  // Guards against going back to an older state when a snapshot arrives after the daemon has caught
+  // up from a peer.
   const state = createState();
   state.applyChanges(buildChanges(4));
   const isInstalled = state.installSnapshot({ revision: 2, resources: [buildResource('a', 1)] });
@@ -68,17 +66,16 @@
   assert.is(state.revision, 4);
 });
 
-test('a snapshot tells watchers what changed, and ends the history', () => {
-  // Symptom: a watcher misses changes without knowing.
-  // Sequence: a daemon was cut off so long that peers gave it a snapshot; a watcher asks for what it missed.
-  // Cause: the changes in between are nowhere to be had.
+test('a snapshot notifies watchers of the changes and resets the history', () => {
+  // Guards against watchers that silently miss changes after a long partition, when the daemon
+  // received a snapshot and the changes in between are not available.
   const state = createState();
   state.applyChanges(buildChanges(2));
-  const heard: ResourceChange[] = [];
-  state.onChange((changes) => heard.push(...changes));
+  const received: ResourceChange[] = [];
+  state.onChange((changes) => received.push(...changes));
   state.installSnapshot({ revision: 9, resources: [buildResource('b', 8)] });
   assert.equal(
-    heard.map(({ revision, name, resource }) => [revision, name, resource !== undefined]),
+    received.map(({ revision, name, resource }) => [revision, name, resource !== undefined]),
     [
       [8, 'b', true],
       [9, 'a', false],
@@ -98,7 +95,7 @@
   );
 });
 
-test('converges under any order, loss and repetition, once anti-entropy has run', () => {
+test('converges under reordering, loss and duplication once anti-entropy has run', () => {
   const changes = buildChanges(20);
   const expected = createState();
   expected.applyChanges(changes);
--- a/packages/configuration/src/replicaState.ts
+++ b/packages/configuration/src/replicaState.ts
@@ -1,4 +1,4 @@
-/** The configuration that a daemon has in force, and the changes that led to it. */
+/** The configuration applied by a daemon, and the recent changes that led to it. */
 import { getErrorMessage, invariant, type Logger } from '@snipehaven/common';
 import type { Resource, ResourceChange } from '@snipehaven/resources';
 import { MAX_PENDING_CHANGES } from './constants.js';
@@ -11,7 +11,7 @@
   readonly resources: readonly Resource[];
 }
 
-/** What a watcher of the old state must hear to arrive at the new one, by rising revision. */
+/** Changes that take a watcher from the old view to the new one, by ascending revision. */
 const diffViews = (before: ReplicaView, after: ReplicaView): readonly ResourceChange[] => {
   const written = after
     .listAll()
@@ -33,29 +33,29 @@
 };
 
 /**
- * What goes wrong: messages overtake each other or come twice, and an old snapshot arrives late; a daemon
- * that took each as it came would go back to a team's old permissions. One notices a revision that
- * falls. Changes are therefore applied in unbroken order only, and snapshots only when higher.
+ * Messages may be reordered or duplicated, and an old snapshot may arrive late. Applying each as it
+ * arrives could restore old permissions of a team and lower the revision. Changes are therefore
+ * applied only in gapless order, and snapshots only if they are newer.
  */
 export class ReplicaState {
-  readonly #keptChanges: number;
+  readonly #retainedChanges: number;
 
   readonly #logger: Logger;
 
   readonly #listeners = new Set<ConfigurationListener>();
 
-  /** Changes ahead of their turn, by revision. */
+  /** Out-of-order changes by revision. */
   readonly #pending = new Map<number, ResourceChange>();
 
-  /** The latest changes, without a gap up to the present revision. */
+  /** Most recent changes, without gaps up to the current revision. */
   #history: ResourceChange[] = [];
 
   #view = ReplicaView.create(0, []);
 
   #headRevision = 0;
 
-  constructor(keptChanges: number, logger: Logger) {
-    this.#keptChanges = keptChanges;
+  constructor(retainedChanges: number, logger: Logger) {
+    this.#retainedChanges = retainedChanges;
     this.#logger = logger;
   }
 
@@ -67,7 +67,7 @@
     return this.#view.revision;
   }
 
-  /** Highest revision heard of from anyone. */
+  /** Highest revision known from any source. */
   get headRevision(): number {
     return this.#headRevision;
   }
@@ -85,15 +85,18 @@
     return () => this.#listeners.delete(listener);
   }
 
-  /** Takes in changes in any order, applies those whose turn has come, and returns these. */
+  /**
+   * Accepts changes in any order, applies those that follow the current revision, and returns the
+   * applied ones.
+   */
   applyChanges(changes: readonly ResourceChange[]): readonly ResourceChange[] {
-    changes.forEach((change) => this.#keep(change));
-    const applied = this.#drain();
+    changes.forEach((change) => this.#addPending(change));
+    const applied = this.#applyPending();
     this.#notify(applied);
     return applied;
   }
 
-  /** Replaces the state by a higher one; returns whether it did. */
+  /** Installs the snapshot if it is newer; returns whether it did. */
   installSnapshot(snapshot: Snapshot): boolean {
     this.observeHead(snapshot.revision);
     if (snapshot.revision <= this.revision) {
@@ -101,38 +104,38 @@
     }
     const before = this.#view;
     const after = ReplicaView.create(snapshot.revision, snapshot.resources);
-    ReplicaState.#checkRises(before, after);
+    ReplicaState.#checkNotOlder(before, after);
     this.#view = after;
     this.#history = [];
-    this.#notify([...diffViews(before, after), ...this.#drain()]);
+    this.#notify([...diffViews(before, after), ...this.#applyPending()]);
     return true;
   }
 
-  /** Changes after the revision; undefined where the history does not reach back so far. */
+  /** Changes after the revision; undefined if the history does not reach back that far. */
   listChanges(afterRevision: number): readonly ResourceChange[] | undefined {
     const oldest = this.revision - this.#history.length;
     return afterRevision < oldest ? undefined : this.#history.slice(afterRevision - oldest);
   }
 
-  static #checkRises(before: ReplicaView, after: ReplicaView): void {
+  static #checkNotOlder(before: ReplicaView, after: ReplicaView): void {
     after.listAll().forEach(({ kind, metadata }) => {
       const old = before.get(kind, metadata.name);
       invariant(
         !old || metadata.resourceVersion >= old.metadata.resourceVersion,
         'configurationNeverReverts',
-        `snapshot ${after.revision} holds an older ${kind} ${metadata.name} than ${before.revision}`,
+        `snapshot ${after.revision} contains an older ${kind} ${metadata.name} than revision ${before.revision}`,
       );
     });
   }
 
-  #keep(change: ResourceChange): void {
+  #addPending(change: ResourceChange): void {
     this.observeHead(change.revision);
     if (change.revision > this.revision && this.#pending.size < MAX_PENDING_CHANGES) {
       this.#pending.set(change.revision, change);
     }
   }
 
-  #drain(): readonly ResourceChange[] {
+  #applyPending(): readonly ResourceChange[] {
     const applied: ResourceChange[] = [];
     let next = this.#pending.get(this.revision + 1);
     while (next) {
@@ -140,7 +143,7 @@
       applied.push(next);
       next = this.#pending.get(this.revision + 1);
     }
-    this.#dropPassed();
+    this.#removeObsoletePending();
     return applied;
   }
 
@@ -150,16 +153,16 @@
       change.revision === this.revision + 1 &&
         change.revision > (present?.metadata.resourceVersion ?? 0),
       'configurationNeverReverts',
-      `change ${change.revision} of ${change.kind} ${change.name} at revision ${this.revision}`,
+      `change ${change.revision} of ${change.kind} ${change.name} does not follow revision ${this.revision}`,
     );
     this.#view = this.#view.withChange(change);
     this.#history.push(change);
-    if (this.#history.length > this.#keptChanges) {
+    if (this.#history.length > this.#retainedChanges) {
       this.#history.shift();
     }
   }
 
-  #dropPassed(): void {
+  #removeObsoletePending(): void {
     [...this.#pending.keys()]
       .filter((revision) => revision <= this.revision)
       .forEach((revision) => this.#pending.delete(revision));
--- a/packages/configuration/src/restoreChange.ts
+++ b/packages/configuration/src/restoreChange.ts
@@ -1,4 +1,4 @@
-/** The gate for resources and changes from the table, from peers and from snapshots. */
+/** Validates resources and changes read from the table, from peers and from snapshots. */
 import { z } from 'zod';
 import { getErrorMessage } from '@snipehaven/common';
 import { changeSchema } from '@snipehaven/protocol';
@@ -27,8 +27,8 @@
   spec: z.unknown(),
 });
 
-/** Runs a check and turns its error into one of this layer. */
-export const guardForm = <Result>(subject: string, check: () => Result): Result => {
+/** Runs a parser and converts its errors to {@link ConfigurationCorruptError}. */
+export const checkFormat = <Result>(subject: string, check: () => Result): Result => {
   try {
     return check();
   } catch (error) {
@@ -36,17 +36,17 @@
   }
 };
 
-/** Checks a stored resource; throws {@link ConfigurationCorruptError}. */
+/** Validates a stored resource; throws {@link ConfigurationCorruptError}. */
 export const restoreResource = (input: unknown): Resource =>
-  guardForm('resource', () => {
+  checkFormat('resource', () => {
     const { kind, metadata, spec } = resourceSchema.parse(input);
     restoreName(kind, metadata.name);
     return { kind, metadata, spec: restoreSpec(kind, metadata.name, spec) };
   });
 
-/** Checks a change; throws {@link ConfigurationCorruptError}. */
+/** Validates a change; throws {@link ConfigurationCorruptError}. */
 export const restoreChange = (input: unknown): ResourceChange =>
-  guardForm('change', () => {
+  checkFormat('change', () => {
     const { revision, kind, name, resource } = changeSchema.parse(input);
     const base = { revision, kind: kindField.parse(kind), name };
     return resource === undefined ? base : { ...base, resource: restoreResource(resource) };
--- a/packages/configuration/src/revisionReports.ts
+++ b/packages/configuration/src/revisionReports.ts
@@ -1,34 +1,37 @@
-/** What the daemons of all data centres report applied. */
+/** Collects the applied revisions reported by the daemons of all data centres. */
 import { createHash } from 'node:crypto';
 import type { MembershipView } from '@snipehaven/membership';
 import type { DataCentreReport, Member, RevisionGossip } from '@snipehaven/protocol';
 import type { InForceStatus } from './types.js';
 
 const TAG_LENGTH = 5;
-const MAX_COUNTS = 6;
-const MAX_BEHIND = 5;
-/** So long a report that tells more counts more than a younger one. */
-const TRUSTED_MS = 10_000;
-/** Tags of the dead are dropped when there are more than this. */
+const MAX_REVISION_COUNTS = 6;
+const MAX_BEHIND_LISTED = 5;
+/** A report with higher revisions is preferred to a newer one for this long. */
+const REPORT_PREFERENCE_MS = 10_000;
+/**
+ * The tag cache is cleared when it exceeds this multiple of the member count, to drop tags of dead
+ * members.
+ */
 const MAX_TAGS_PER_MEMBER = 4;
-/** Old reports that each message repeats, so that a lost message is made good. */
-const REPEATED_TAGS = 3;
+/** Older entries repeated per message, to make up for lost messages. */
+const REPEATED_TAGS_PER_MESSAGE = 3;
 
 interface AppliedRevision {
   readonly revision: number;
   readonly changedAtMs: number;
 }
 
-interface HeldReport {
+interface ReceivedReport {
   readonly report: DataCentreReport;
-  /** When it was made, by this daemon's clock. */
-  readonly madeAtMs: number;
+  /** Creation time, converted to the local clock. */
+  readonly createdAtMs: number;
   readonly changedAtMs: number;
 }
 
 type AppliedGroups = RevisionGossip['applied'];
 
-/** A short name of an incarnation: the full one would take most of the control budget. */
+/** Short identifier of an incarnation; full names would use most of the control-traffic budget. */
 const createTag = (incarnation: string): string =>
   createHash('sha256').update(incarnation).digest('base64url').slice(0, TAG_LENGTH);
 
@@ -40,11 +43,14 @@
   return [...groups].map(([revision, tags]) => ({ revision, tags }));
 };
 
-/** Counts by falling revision; the rarest low ones are folded into the lowest. */
+/**
+ * Counts daemons per revision, in descending order; the lowest revisions are combined under the
+ * lowest one.
+ */
 const countRevisions = (revisions: readonly number[]): DataCentreReport['counts'] => {
   const sorted = [...new Set(revisions)].sort((a, b) => b - a);
-  const kept = sorted.slice(0, MAX_COUNTS - 1);
-  const rest = sorted.slice(MAX_COUNTS - 1);
+  const kept = sorted.slice(0, MAX_REVISION_COUNTS - 1);
+  const rest = sorted.slice(MAX_REVISION_COUNTS - 1);
   const count = (wanted: readonly number[]): number =>
     revisions.filter((revision) => wanted.includes(revision)).length;
   const counts = kept.map((revision) => ({ revision, count: count([revision]) }));
@@ -59,43 +65,48 @@
   counts.reduce((sum, { revision, count }) => sum + revision * count, 0);
 
 /**
- * A report made later by a daemon that has heard less of its neighbours must not replace one that tells
- * more, or the status would swing; but after a while the younger counts, since members come and go.
+ * A newer report from a daemon that has heard less from its peers must not replace a report with
+ * higher revisions, otherwise the status would fluctuate. After `REPORT_PREFERENCE_MS` the newer
+ * report wins, because members come and go.
  */
-const isBetter = (report: DataCentreReport, madeAtMs: number, held: HeldReport): boolean => {
+const shouldReplaceReport = (
+  report: DataCentreReport,
+  createdAtMs: number,
+  held: ReceivedReport,
+): boolean => {
   const gained = sumRevisions(report) - sumRevisions(held.report);
-  const isHeldOld = Date.now() - held.madeAtMs > TRUSTED_MS;
-  return gained === 0 || isHeldOld ? madeAtMs >= held.madeAtMs : gained > 0;
+  const isHeldOld = Date.now() - held.createdAtMs > REPORT_PREFERENCE_MS;
+  return gained === 0 || isHeldOld ? createdAtMs >= held.createdAtMs : gained > 0;
 };
 
 /**
- * Within a data centre each daemon's applied revision travels by gossip; between data centres only counts
- * by revision do, so that the traffic of 400 daemons stays within the control budget. All reports are lower
- * bounds of the truth, since applied revisions only rise.
+ * Within a data centre, gossip carries the applied revision of each daemon. Between data centres it
+ * carries only the number of daemons per revision, which keeps the traffic of 400 daemons within
+ * the control budget. All reports are lower bounds, because applied revisions only increase.
  */
 export class RevisionReports {
   readonly #membership: MembershipView;
 
-  readonly #freshMs: number;
+  readonly #repeatMs: number;
 
-  /** Applied revisions of the own data centre by tag, self excluded. */
+  /** Applied revisions of this data centre by tag, without this daemon. */
   readonly #applied = new Map<string, AppliedRevision>();
 
-  readonly #reports = new Map<string, HeldReport>();
+  readonly #reports = new Map<string, ReceivedReport>();
 
-  /** Tags by incarnation, made once. */
+  /** Cached tags by incarnation. */
   readonly #tags = new Map<string, string>();
 
-  #repeatFrom = 0;
+  #repeatCursor = 0;
 
-  #repeatedReport = 0;
+  #reportCursor = 0;
 
-  constructor(membership: MembershipView, freshMs: number) {
+  constructor(membership: MembershipView, repeatMs: number) {
     this.#membership = membership;
-    this.#freshMs = freshMs;
+    this.#repeatMs = repeatMs;
   }
 
-  /** Notes what a member of the own data centre said about itself. */
+  /** Records the revision that a member of this data centre reported for itself. */
   observeMember({ dataCentre, incarnation }: Member, revision: number): void {
     if (dataCentre === this.#membership.self.dataCentre) {
       this.#observeTag(this.#getTag(incarnation), revision);
@@ -109,25 +120,25 @@
     );
   }
 
-  /** Keeps the better of two reports of another data centre. */
+  /** Keeps the preferred one of two reports of a remote data centre. */
   observeReport(report: DataCentreReport): void {
-    const madeAtMs = Date.now() - report.ageMs;
+    const createdAtMs = Date.now() - report.ageMs;
     const held = this.#reports.get(report.dataCentre);
     const isOwn = report.dataCentre === this.#membership.self.dataCentre;
-    if (isOwn || (held && !isBetter(report, madeAtMs, held))) {
+    if (isOwn || (held && !shouldReplaceReport(report, createdAtMs, held))) {
       return;
     }
     const changedAtMs = held && isSameReport(held.report, report) ? held.changedAtMs : Date.now();
-    this.#reports.set(report.dataCentre, { report, madeAtMs, changedAtMs });
+    this.#reports.set(report.dataCentre, { report, createdAtMs, changedAtMs });
   }
 
-  /** Applied revisions that changed lately, and some older ones in turn. */
+  /** Recently changed applied revisions, and some older ones in rotation. */
   listRecentlyApplied(ownRevision: number): AppliedGroups {
-    this.#dropDead();
+    this.#removeDeadTags();
     const nowMs = Date.now();
     const entries = [...this.#applied];
     const isFresh = ({ changedAtMs }: AppliedRevision): boolean =>
-      nowMs - changedAtMs <= this.#freshMs;
+      nowMs - changedAtMs <= this.#repeatMs;
     const fresh = entries.filter(([, applied]) => isFresh(applied));
     const repeated = this.#pickRepeated(entries.filter(([, applied]) => !isFresh(applied)));
     const own = [this.#getTag(this.#membership.self.incarnation), ownRevision] as const;
@@ -135,20 +146,20 @@
     return groupByRevision([own, ...others]);
   }
 
-  /** Reports of the other data centres that changed lately, and one older one in turn. */
+  /** Recently changed reports of remote data centres, and one older report in rotation. */
   listRecentReports(): readonly DataCentreReport[] {
     const nowMs = Date.now();
     const held = [...this.#reports.values()];
-    const fresh = held.filter(({ changedAtMs }) => nowMs - changedAtMs <= this.#freshMs);
-    const old = held.filter(({ changedAtMs }) => nowMs - changedAtMs > this.#freshMs);
-    this.#repeatedReport += 1;
-    const repeated = old.length > 0 ? [old[this.#repeatedReport % old.length]] : [];
+    const fresh = held.filter(({ changedAtMs }) => nowMs - changedAtMs <= this.#repeatMs);
+    const old = held.filter(({ changedAtMs }) => nowMs - changedAtMs > this.#repeatMs);
+    this.#reportCursor += 1;
+    const repeated = old.length > 0 ? [old[this.#reportCursor % old.length]] : [];
     return [...fresh, ...repeated]
       .filter((entry) => entry !== undefined)
-      .map(({ report, madeAtMs }) => ({ ...report, ageMs: Math.max(0, nowMs - madeAtMs) }));
+      .map(({ report, createdAtMs }) => ({ ...report, ageMs: Math.max(0, nowMs - createdAtMs) }));
   }
 
-  /** The report of the own data centre. */
+  /** Builds the report of this data centre. */
   buildOwnReport(ownRevision: number): DataCentreReport {
     const members = this.#listLocalRevisions(ownRevision);
     const revisions = members.map(({ revision }) => revision);
@@ -156,12 +167,12 @@
     const behind = members
       .filter(({ revision }) => revision < highest)
       .map(({ incarnation }) => incarnation)
-      .slice(0, MAX_BEHIND);
+      .slice(0, MAX_BEHIND_LISTED);
     const { dataCentre } = this.#membership.self;
     return { dataCentre, ageMs: 0, counts: countRevisions(revisions), behind };
   }
 
-  /** How far a revision has come among all live members. */
+  /** Propagation of a revision among all live members. */
   getInForce(revision: number, ownRevision: number): InForceStatus {
     const local = this.#listLocalRevisions(ownRevision);
     const behindLocal = local.filter((member) => member.revision < revision);
@@ -217,9 +228,12 @@
   }
 
   #pickRepeated<Entry>(entries: readonly Entry[]): readonly Entry[] {
-    this.#repeatFrom += REPEATED_TAGS;
-    const start = entries.length > 0 ? this.#repeatFrom % entries.length : 0;
-    return [...entries.slice(start), ...entries.slice(0, start)].slice(0, REPEATED_TAGS);
+    this.#repeatCursor += REPEATED_TAGS_PER_MESSAGE;
+    const start = entries.length > 0 ? this.#repeatCursor % entries.length : 0;
+    return [...entries.slice(start), ...entries.slice(0, start)].slice(
+      0,
+      REPEATED_TAGS_PER_MESSAGE,
+    );
   }
 
   #listLiveTags(): ReadonlySet<string> {
@@ -232,7 +246,7 @@
     );
   }
 
-  #dropDead(): void {
+  #removeDeadTags(): void {
     const live = this.#listLiveTags();
     if (this.#tags.size > MAX_TAGS_PER_MEMBER * (live.size + 1)) {
       this.#tags.clear();
@@ -255,7 +269,7 @@
     }));
   }
 
-  /** Live members of each other data centre. */
+  /** Number of live members per remote data centre. */
   #countRemote(): ReadonlyMap<string, number> {
     const { self } = this.#membership;
     const counts = new Map<string, number>();
--- a/packages/configuration/src/revisionTopic.ts
+++ b/packages/configuration/src/revisionTopic.ts
@@ -1,9 +1,9 @@
-/** The gossip topic that compares revisions with each peer and repairs what pushes lost. */
+/** Gossip topic that compares revisions with each peer and recovers changes whose push was lost. */
 import type { GossipTopic, MembershipView } from '@snipehaven/membership';
 import { revisionGossipSchema, type Member, type RevisionGossip } from '@snipehaven/protocol';
 import type { ConfigurationSettings } from './constants.js';
 import type { ContactTracker } from './contactTracker.js';
-import { guardForm } from './restoreChange.js';
+import { checkFormat } from './restoreChange.js';
 import type { ReplicaState } from './replicaState.js';
 import type { RevisionReports } from './revisionReports.js';
 import type { Synchroniser } from './synchroniser.js';
@@ -45,11 +45,11 @@
   mergePayload(payload: unknown, from: Member): void {
     const { state, contact, reports, synchroniser, settings } = this.#options;
     const { staleAfterMs } = settings;
-    const gossip = guardForm('gossip', () => revisionGossipSchema.parse(payload));
+    const gossip = checkFormat('gossip', () => revisionGossipSchema.parse(payload));
     const isAhead = gossip.revision > state.revision;
     const { tableAgeMs = Infinity, hasConfiguration } = gossip;
     const isInContact = hasConfiguration && tableAgeMs <= staleAfterMs;
-    contact.notePeer({ isInContact, isAhead, tableAgeMs: gossip.tableAgeMs });
+    contact.recordPeerGossip({ isInContact, isAhead, tableAgeMs: gossip.tableAgeMs });
     state.observeHead(Math.max(gossip.revision, gossip.headRevision));
     reports.observeMember(from, gossip.revision);
     reports.observeApplied(gossip.applied);
--- a/packages/configuration/src/safeMoves/joinSafeMoves.ts
+++ b/packages/configuration/src/safeMoves/joinSafeMoves.ts
@@ -1,7 +1,9 @@
-/** The join of safe moves: commutative, associative and idempotent. */
+/** Merge function of safe moves: commutative, associative and idempotent. */
 import type { SafeMove } from '@snipehaven/protocol';
 
-/** Orders moves of equal generation and state, so that all daemons keep the same one. */
+/**
+ * Breaks ties between moves of equal generation and state, so that all daemons keep the same one.
+ */
 const compareTexts = (a: SafeMove, b: SafeMove): number => {
   const textOfA = `${a.by}\u0000${a.reason}`;
   const textOfB = `${b.by}\u0000${b.reason}`;
@@ -9,8 +11,8 @@
 };
 
 /**
- * Positive when `a` beats `b`: the higher generation wins, then the active one, so that a withdrawal beats
- * a lift that did not know of it; then the earlier one.
+ * Positive if `a` takes precedence over `b`: the higher generation wins, then the active one, so
+ * that a withdrawal wins over a concurrent lift, then the earlier one.
  */
 export const compareSafeMoves = (a: SafeMove, b: SafeMove): number =>
   a.generation - b.generation ||
@@ -18,6 +20,6 @@
   b.atMs - a.atMs ||
   compareTexts(b, a);
 
-/** The one of two moves of the same key that counts. */
+/** Returns the move that takes precedence; both must have the same key. */
 export const joinSafeMoves = (a: SafeMove, b: SafeMove): SafeMove =>
   compareSafeMoves(a, b) >= 0 ? a : b;
--- a/packages/configuration/src/safeMoves/safeMoveLift.ts
+++ b/packages/configuration/src/safeMoves/safeMoveLift.ts
@@ -1,4 +1,4 @@
-/** Lifting a safe move: a risky move, which only the table can grant. */
+/** Lifts a safe move, which is a risky operation and therefore requires the table. */
 import { sleep, type Random } from '@snipehaven/common';
 import { isPlatformError, PlatformOutcomeUnknownError } from '@snipehaven/platform';
 import type { SafeMove } from '@snipehaven/protocol';
@@ -20,7 +20,7 @@
   readonly by: string;
 }
 
-/** Lifts one mark; made for one request and then dropped. */
+/** One lift request; not reusable. */
 export class SafeMoveLift {
   readonly #request: LiftRequest;
 
@@ -29,8 +29,8 @@
   readonly #table: SafeMoveTable;
 
   /**
-   * The move to write, under the generation that follows the one in force here when the lift was asked
-   * for: what arrives while the table is read was unknown to the operator.
+   * The move to write. Its generation follows the one known here when the lift was requested,
+   * because the operator did not know of moves that arrive while the table is read.
    */
   #target: SafeMove | undefined;
 
@@ -44,7 +44,7 @@
     this.#target = seen?.isActive ? this.#buildTarget(seen) : undefined;
   }
 
-  /** Tries until the deadline; throws NotFound, Raced, Unavailable or OutcomeUnknown. */
+  /** Retries until the deadline; throws NotFound, Raced, Unavailable or OutcomeUnknown. */
   async run(settings: ConfigurationSettings, random: Random): Promise<void> {
     const deadlineMs = Date.now() + settings.writeDeadlineMs;
     let failures = 0;
@@ -63,20 +63,20 @@
       await sleep(getBackoffMs(failures, settings.retryBaseMs, settings.retryMaxMs, random));
       failures += 1;
     } while (Date.now() < deadlineMs);
-    throw this.#giveUp(cause);
+    throw this.#createFailure(cause);
   }
 
   async #attempt(): Promise<boolean> {
     const stored = await this.#table.read(this.#request.key);
     const present = this.#state.get(this.#request.key)?.move;
     if (!present) {
-      throw new ConfigurationNotFoundError(`${this.#request.key} is not set`);
+      throw new ConfigurationNotFoundError(`${this.#request.key} does not exist`);
     }
     if (!present.isActive) {
       return true;
     }
     this.#target ??= this.#buildTarget(present);
-    this.#checkNotRaced(present, this.#target);
+    this.#checkNotSuperseded(present, this.#target);
     return this.#write(this.#target, stored.rowVersion);
   }
 
@@ -85,14 +85,14 @@
   }
 
   /**
-   * What goes wrong: an operator withdraws a version again while another lifts the old withdrawal; a lift
-   * that simply took the next generation would undo the new withdrawal unseen. So the lift keeps to the
-   * generation that it set out with, and gives way.
+   * If an operator withdraws a version again while another lifts the old withdrawal, a lift that
+   * took the next free generation would silently undo the new withdrawal. The lift therefore keeps
+   * its original generation and fails if a newer move exists.
    */
-  #checkNotRaced(present: SafeMove, target: SafeMove): void {
+  #checkNotSuperseded(present: SafeMove, target: SafeMove): void {
     if (compareSafeMoves(present, target) > 0) {
       throw new SafeMoveRacedError(
-        `${target.key} was set again by ${present.by} (${present.reason}); it stays in force`,
+        `${target.key} was activated again by ${present.by} (${present.reason}); it stays in force`,
       );
     }
   }
@@ -106,10 +106,10 @@
     }
   }
 
-  #giveUp(cause: unknown): Error {
+  #createFailure(cause: unknown): Error {
     const { key } = this.#request;
     return this.#mayHaveWritten
-      ? new ConfigurationOutcomeUnknownError(`${key} may have been lifted: ask again`, { cause })
+      ? new ConfigurationOutcomeUnknownError(`${key} may have been lifted: retry`, { cause })
       : new ConfigurationUnavailableError(
           `${key} stays in force: it can be lifted only while the table answers`,
           { cause },
--- a/packages/configuration/src/safeMoves/safeMoveRegistry.ts
+++ b/packages/configuration/src/safeMoves/safeMoveRegistry.ts
@@ -1,4 +1,7 @@
-/** Safe moves of one daemon: sets and lifts them, spreads them, and keeps them in the table. */
+/**
+ * Manages the safe moves of one daemon: activates and lifts them, sends them to peers and persists
+ * them in the table.
+ */
 import { getErrorMessage, sleep, type Logger, type Random } from '@snipehaven/common';
 import type { GossipTopic, MembershipView } from '@snipehaven/membership';
 import type { TableClient } from '@snipehaven/platform';
@@ -28,7 +31,7 @@
   readonly settings: ConfigurationSettings;
 }
 
-/** Kinds of mark under which a version gets no new work. */
+/** Kinds of safe move that exclude a version from new work. */
 const BLOCKING_KINDS: readonly SafeMoveKind[] = ['withdraw', 'quarantine'];
 
 export class SafeMoveRegistry implements SafeMoves {
@@ -53,15 +56,15 @@
     this.#table = new SafeMoveTable({
       ...options,
       state: this.#state,
-      spread: (keys) => this.#fanOut.spread(keys),
+      broadcast: (keys) => this.#fanOut.broadcast(keys),
     });
-    this.topic = new SafeMoveTopic(this.#state, settings.reportFreshMs, (peer, batch) =>
-      this.#sendQuietly(peer, batch),
+    this.topic = new SafeMoveTopic(this.#state, settings.gossipRepeatMs, (peer, batch) =>
+      this.#sendOrLog(peer, batch),
     );
     this.#state.onChange((move) => this.#record('safeMoveApplied', move));
   }
 
-  /** What the boot and the snapshots take in and hand out. */
+  /** State that booting and snapshots merge into and read from. */
   get state(): SafeMoveState {
     return this.#state;
   }
@@ -84,9 +87,9 @@
     const move = this.#buildActive(key, reason, by);
     this.#state.merge({ moves: [move], durableKeys: [] });
     this.#record('safeMoveAccepted', move);
-    this.#table.noteAccepted(key);
-    this.#fanOut.spread([key]);
-    await Promise.race([this.#persistQuietly(key), sleep(this.#options.settings.durableWaitMs)]);
+    this.#table.markAccepted(key);
+    this.#fanOut.broadcast([key]);
+    await Promise.race([this.#persistOrLog(key), sleep(this.#options.settings.durableWaitMs)]);
     return this.#getStatus(key);
   }
 
@@ -99,7 +102,7 @@
     const key = getSafeMoveKey(kind, subject);
     const lift = new SafeMoveLift({ key, reason, by }, this.#state, this.#table);
     await lift.run(this.#options.settings, this.#options.random);
-    this.#fanOut.spread([key]);
+    this.#fanOut.broadcast([key]);
     return this.#getStatus(key);
   }
 
@@ -119,22 +122,22 @@
     return this.#state.onChange(listener);
   }
 
-  /** Takes in a peer's push. */
+  /** Merges the safe moves pushed by a peer. */
   async handlePush({ moves, durableKeys, isRelay }: PushSafeMoves): Promise<{
     readonly accepted: number;
   }> {
     const changed = this.#state.merge({ moves, durableKeys });
     if (isRelay) {
-      void this.#fanOut.passOn(moves.map(({ key }) => key));
+      void this.#fanOut.broadcastLocally(moves.map(({ key }) => key));
     }
     return { accepted: changed.length };
   }
 
   /**
-   * What goes wrong: an operator lifts a withdrawal at one daemon, another withdraws again at one that has
-   * not heard of the lift; were a set mark left as it is, the lift would arrive and undo the second
-   * withdrawal. Each activation therefore takes the next generation, which at worst equals that of the lift,
-   * and at equal generation the active mark wins.
+   * An operator may lift a withdrawal at one daemon while another withdraws again at a daemon that
+   * has not heard of the lift. If activating an active move were a no-op, the lift would undo the
+   * second withdrawal on arrival. Each activation therefore takes the next generation. That is at
+   * least the generation of the lift, and at equal generations the active move wins.
    */
   #buildActive(key: string, reason: string, by: string): SafeMove {
     const present = this.#state.get(key)?.move;
@@ -150,12 +153,15 @@
     return status;
   }
 
-  async #persistQuietly(key: string): Promise<void> {
+  async #persistOrLog(key: string): Promise<void> {
     try {
       await this.#table.persist(key);
     } catch (error) {
       const fault = getErrorMessage(error);
-      this.#options.logger.warn({ key, fault }, 'safe move in force but not durable yet');
+      this.#options.logger.warn(
+        { key, fault },
+        'safe move is active but not yet written to the table',
+      );
     }
   }
 
@@ -164,9 +170,12 @@
     await peer.configuration.pushSafeMoves({ ...batch, isRelay });
   }
 
-  #sendQuietly(member: Member, batch: SafeMoveBatch): void {
+  #sendOrLog(member: Member, batch: SafeMoveBatch): void {
     this.#send(member, batch, false).catch((error: unknown) =>
-      this.#options.logger.debug({ fault: getErrorMessage(error) }, 'safe moves not sent'),
+      this.#options.logger.debug(
+        { fault: getErrorMessage(error) },
+        'could not send safe moves to the peer',
+      ),
     );
   }
 
--- a/packages/configuration/src/safeMoves/safeMoveState.ts
+++ b/packages/configuration/src/safeMoves/safeMoveState.ts
@@ -1,4 +1,4 @@
-/** The safe moves that a daemon knows of, joined from everyone. */
+/** Safe moves known to a daemon, merged from all sources. */
 import { createHash } from 'node:crypto';
 import { getErrorMessage, invariant, type Logger } from '@snipehaven/common';
 import type { SafeMove, SafeMoveBatch } from '@snipehaven/protocol';
@@ -48,7 +48,7 @@
     return [...this.#entries.values()].map(toStatus);
   }
 
-  /** Moves to send: all, or those of the keys. */
+  /** Builds a message with all moves, or with those of the given keys. */
   listBatch(keys: Iterable<string> = this.#entries.keys()): SafeMoveBatch {
     const entries = [...keys]
       .map((key) => this.#entries.get(key))
@@ -71,7 +71,7 @@
       .map(({ move }) => move.key);
   }
 
-  /** Equal at two daemons that know the same moves and the same of their durability. */
+  /** Digest that is equal on two daemons if they know the same moves and durability. */
   getDigest(): string {
     this.#digest ??= this.#computeDigest();
     return this.#digest;
@@ -82,7 +82,7 @@
     return () => this.#listeners.delete(listener);
   }
 
-  /** Joins moves from anyone, in any order and any number of times; returns the keys that changed. */
+  /** Merges moves in any order and any number of times; returns the keys that changed. */
   merge({ moves, durableKeys }: SafeMoveBatch): readonly string[] {
     const durable = new Set(durableKeys);
     return moves
@@ -90,19 +90,19 @@
       .map((move) => move.key);
   }
 
-  /** Notes that the very move is in the table. */
+  /** Records that exactly this move is stored in the table. */
   markDurable(move: SafeMove): void {
     this.#mergeOne(move, true);
   }
 
-  /** Returns whether the known move changed, not counting its durability. */
+  /** Returns whether the known move changed, regardless of its durability. */
   #mergeOne(move: SafeMove, isDurable: boolean): boolean {
     const entry = this.#entries.get(move.key);
     const joined = entry ? joinSafeMoves(entry.move, move) : move;
     invariant(
       !entry || compareSafeMoves(joined, entry.move) >= 0,
       'noWithdrawnWork',
-      `the mark ${move.key} fell below generation ${entry?.move.generation}`,
+      `safe move ${move.key} went back to before generation ${entry?.move.generation}`,
     );
     const isChanged = !entry || compareSafeMoves(joined, entry.move) !== 0;
     const isSame = compareSafeMoves(joined, move) === 0;
--- a/packages/configuration/src/safeMoves/safeMoveTable.ts
+++ b/packages/configuration/src/safeMoves/safeMoveTable.ts
@@ -1,11 +1,14 @@
-/** Safe moves in the table: one row each, which only a join changes. */
+/**
+ * Persists safe moves in the table, one row each; a row is only ever replaced by the result of a
+ * merge.
+ */
 import { getErrorMessage, type Logger, type Random } from '@snipehaven/common';
 import type { MembershipView } from '@snipehaven/membership';
 import type { TableClient, TableRow } from '@snipehaven/platform';
 import { safeMoveSchema, type SafeMove } from '@snipehaven/protocol';
 import { getBackoffMs, runRepeatedly } from '../backoff.js';
 import { SAFE_MOVE_PREFIX, type ConfigurationSettings } from '../constants.js';
-import { guardForm } from '../restoreChange.js';
+import { checkFormat } from '../restoreChange.js';
 import { scanAll } from '../tableReader.js';
 import { compareSafeMoves } from './joinSafeMoves.js';
 import type { SafeMoveState } from './safeMoveState.js';
@@ -17,31 +20,30 @@
   readonly random: Random;
   readonly logger: Logger;
   readonly settings: ConfigurationSettings;
-  /** Tells the peers of moves and of their durability. */
-  readonly spread: (keys: readonly string[]) => void;
+  /** Sends moves and their durability to the peers. */
+  readonly broadcast: (keys: readonly string[]) => void;
 }
 
-/** A row as read. */
 export interface StoredSafeMove {
   readonly move: SafeMove | undefined;
   readonly rowVersion: number;
 }
 
 const SCAN_DUTY = 'safeMoveScan';
-/** The duty's owner scans in one of so many rounds. */
-const ROUNDS_PER_SCAN = 5;
+/** The owner of the scan duty loads all rows once in this many repair runs. */
+const REPAIRS_PER_SCAN = 5;
 
-const restoreRow = (row: TableRow): SafeMove =>
-  guardForm(row.key, () => safeMoveSchema.parse(row.value));
+const parseRow = (row: TableRow): SafeMove =>
+  checkFormat(row.key, () => safeMoveSchema.parse(row.value));
 
-/** Methods throw the platform's errors as they come. */
+/** Methods pass errors of the platform through unchanged. */
 export class SafeMoveTable {
   readonly #options: SafeMoveTableOptions;
 
-  /** Moves accepted here, which this daemon writes whoever owns the duty. */
+  /** Moves accepted by this daemon, which it persists even without owning the duty. */
   readonly #accepted = new Set<string>();
 
-  #round = 0;
+  #repairCount = 0;
 
   #failures = 0;
 
@@ -49,30 +51,30 @@
     this.#options = options;
   }
 
-  noteAccepted(key: string): void {
+  markAccepted(key: string): void {
     this.#accepted.add(key);
   }
 
-  /** Joins all rows into the state. */
+  /** Merges all rows into the state. */
   async load(): Promise<void> {
     const { table, state } = this.#options;
     const rows = await scanAll(table, SAFE_MOVE_PREFIX);
-    const moves = rows.map(restoreRow);
+    const moves = rows.map(parseRow);
     state.merge({ moves, durableKeys: moves.map(({ key }) => key) });
   }
 
-  /** Reads one row and joins it into the state. */
+  /** Reads one row and merges it into the state. */
   async read(key: string): Promise<StoredSafeMove> {
     const [row] = await this.#options.table.read([`${SAFE_MOVE_PREFIX}${key}`]);
     if (!row) {
       return { move: undefined, rowVersion: 0 };
     }
-    const move = restoreRow(row);
+    const move = parseRow(row);
     this.#options.state.merge({ moves: [move], durableKeys: [key] });
     return { move, rowVersion: row.version };
   }
 
-  /** Writes a move if the row is still at the version; returns whether it was written. */
+  /** Writes a move if the row version is unchanged; returns whether it was written. */
   async write(move: SafeMove, rowVersion: number): Promise<boolean> {
     const key = `${SAFE_MOVE_PREFIX}${move.key}`;
     const [result] = await this.#options.table.transact([
@@ -85,9 +87,9 @@
     return true;
   }
 
-  /** Brings a known move into the table: joins with the row until the row holds the outcome. */
+  /** Persists a known move: merges with the row and retries until the row contains the result. */
   async persist(key: string): Promise<void> {
-    const { state, spread } = this.#options;
+    const { state, broadcast } = this.#options;
     for (;;) {
       const stored = await this.read(key);
       const status = state.get(key);
@@ -97,13 +99,15 @@
       const isStored = stored.move && compareSafeMoves(stored.move, status.move) === 0;
       if (isStored || (await this.write(status.move, stored.rowVersion))) {
         this.#accepted.delete(key);
-        spread([key]);
+        broadcast([key]);
         return;
       }
     }
   }
 
-  /** Writes what an outage kept out of the table, and finds what only the table knows. */
+  /**
+   * Persists moves that an outage kept out of the table, and loads moves known only to the table.
+   */
   run(signal: AbortSignal): Promise<void> {
     return runRepeatedly(async () => {
       try {
@@ -111,7 +115,10 @@
         this.#failures = 0;
       } catch (error) {
         this.#failures += 1;
-        this.#options.logger.warn({ fault: getErrorMessage(error) }, 'safe moves not durable yet');
+        this.#options.logger.warn(
+          { fault: getErrorMessage(error) },
+          'could not write safe moves to the table yet',
+        );
       }
       return this.#getWaitMs();
     }, signal);
@@ -119,18 +126,21 @@
 
   async #repair(): Promise<void> {
     const { state, membership } = this.#options;
-    this.#round += 1;
-    const keys = state.listNotDurableKeys().filter((key) => this.#isMine(key));
+    this.#repairCount += 1;
+    const keys = state.listNotDurableKeys().filter((key) => this.#mustPersist(key));
     for (const key of keys) {
       await this.persist(key);
     }
-    if (this.#round % ROUNDS_PER_SCAN === 0 && membership.ownsDuty(SCAN_DUTY)) {
+    if (this.#repairCount % REPAIRS_PER_SCAN === 0 && membership.ownsDuty(SCAN_DUTY)) {
       await this.load();
     }
   }
 
-  /** A daemon that accepted a move may be gone before the table is back; a duty stands in for it. */
-  #isMine(key: string): boolean {
+  /**
+   * The daemon that accepted a move may be gone when the table is available again, so the owner of
+   * the duty persists it too.
+   */
+  #mustPersist(key: string): boolean {
     return this.#accepted.has(key) || this.#options.membership.ownsDuty(`safeMove/${key}`);
   }
 
--- a/packages/configuration/src/safeMoves/safeMoveTopic.ts
+++ b/packages/configuration/src/safeMoves/safeMoveTopic.ts
@@ -1,4 +1,4 @@
-/** The gossip topic that compares safe moves with each peer. */
+/** Gossip topic that compares the safe moves with each peer. */
 import type { GossipTopic } from '@snipehaven/membership';
 import {
   safeMoveGossipSchema,
@@ -6,10 +6,10 @@
   type SafeMoveBatch,
   type SafeMoveGossip,
 } from '@snipehaven/protocol';
-import { guardForm } from '../restoreChange.js';
+import { checkFormat } from '../restoreChange.js';
 import type { SafeMoveState } from './safeMoveState.js';
 
-/** At most one message with all moves in this time: a mismatch may have many peers at once. */
+/** Minimum interval between pushes of all moves, because many peers may differ at the same time. */
 const FULL_PUSH_INTERVAL_MS = 1_000;
 
 export class SafeMoveTopic implements GossipTopic {
@@ -17,37 +17,36 @@
 
   readonly #state: SafeMoveState;
 
-  readonly #freshMs: number;
+  readonly #repeatMs: number;
 
-  /** Sends moves to one peer. */
   readonly #push: (peer: Member, batch: SafeMoveBatch) => void;
 
-  #pushedAtMs = 0;
+  #fullPushAtMs = 0;
 
   constructor(
     state: SafeMoveState,
-    freshMs: number,
+    repeatMs: number,
     push: (peer: Member, batch: SafeMoveBatch) => void,
   ) {
     this.#state = state;
-    this.#freshMs = freshMs;
+    this.#repeatMs = repeatMs;
     this.#push = push;
   }
 
   getPayload(): SafeMoveGossip {
-    const keys = this.#state.listRecentKeys(Date.now() - this.#freshMs);
+    const keys = this.#state.listRecentKeys(Date.now() - this.#repeatMs);
     const digest = this.#state.getDigest();
     return keys.length > 0 ? { digest, recent: this.#state.listBatch(keys) } : { digest };
   }
 
   mergePayload(payload: unknown, from: Member): void {
-    const gossip = guardForm('gossip', () => safeMoveGossipSchema.parse(payload));
+    const gossip = checkFormat('gossip', () => safeMoveGossipSchema.parse(payload));
     if (gossip.recent) {
       this.#state.merge(gossip.recent);
     }
-    const isDue = Date.now() - this.#pushedAtMs >= FULL_PUSH_INTERVAL_MS;
+    const isDue = Date.now() - this.#fullPushAtMs >= FULL_PUSH_INTERVAL_MS;
     if (gossip.digest !== this.#state.getDigest() && isDue) {
-      this.#pushedAtMs = Date.now();
+      this.#fullPushAtMs = Date.now();
       this.#push(from, this.#state.listBatch());
     }
   }
--- a/packages/configuration/src/safeMoves/safeMoves.test.ts
+++ b/packages/configuration/src/safeMoves/safeMoves.test.ts
@@ -55,7 +55,7 @@
   );
 });
 
-test('daemons converge under any order, loss and repetition, and equal digests say so', () => {
+test('daemons converge under reordering, loss and duplication, and their digests become equal', () => {
   const movesArbitrary = fc.array(moveArbitrary, { maxLength: 12 });
   const orderArbitrary = fc.array(fc.nat({ max: 11 }), { maxLength: 40 });
   const deliver = (
@@ -84,11 +84,10 @@
 });
 
 test(
-  'a withdrawal while the table is down is in force at once, and durable once it is back',
+  'a withdrawal takes effect while the table is down, and is persisted when the table recovers',
   withCluster(async (cluster) => {
-    // Symptom: a bad version goes on answering until the table is mended.
-    // Sequence: the table goes down, an operator withdraws, the accepting daemon dies, the table comes back.
-    // Cause: a withdrawal that is a table write has to wait for the table.
+    // Guards against a bad version that keeps serving while the table is down, because a withdrawal
+    // would have to wait for the table. The accepting daemon also dies before the table recovers.
     const daemons = await cluster.addReadyDaemons(['a1', 'a2', 'b1', 'b2']);
     const [accepting, ...others] = daemons as [TestDaemon, ...TestDaemon[]];
     cluster.table.inject({ isDown: true });
@@ -116,20 +115,19 @@
 );
 
 test(
-  'a withdrawal by a daemon that has not heard of the lift beats the lift',
+  'a withdrawal by a daemon unaware of a lift takes precedence over the lift',
   withCluster(async (cluster) => {
-    // Symptom: a version withdrawn for the second time is back minutes later.
-    // Sequence: withdrawn; data centre b is cut off; the mark is lifted in a; an operator withdraws again in
-    // b; the cut heals, and the lift arrives in b.
-    // Cause: for b the mark was still set, so that the second withdrawal seemed to change nothing.
+    // Guards against a lift that undoes a later withdrawal. The version is withdrawn and data
+    // centre b partitioned; the withdrawal is lifted in a and renewed in b, where it is still
+    // active; then the lift arrives in b.
     const daemons = await cluster.addReadyDaemons(['a1', 'b1']);
     const [a, b] = daemons as unknown as readonly [TestDaemon, TestDaemon];
     await cluster.settle(withdraw(a));
-    cluster.cutOff.add('b');
+    cluster.partitioned.add('b');
     await cluster.settle(lift(a));
     await cluster.settle(withdraw(b, 'carl'));
     assert.equal(listBlocked(daemons), [false, true]);
-    cluster.cutOff.clear();
+    cluster.partitioned.clear();
     await cluster.advance(15_000);
     assert.equal(listBlocked(daemons), [true, true]);
     assert.is((cluster.table.rows.get(ROW_KEY)?.value as SafeMove).by, 'carl');
@@ -137,12 +135,10 @@
 );
 
 test(
-  'a lift gives way to a withdrawal that overtakes it, and survives a lost answer',
+  'a lift fails if a withdrawal overtakes it, and succeeds if its reply is lost',
   withCluster(async (cluster) => {
-    // Symptom: a lift undoes a withdrawal that its operator never saw.
-    // Sequence: a lift is on its way to the table when another operator withdraws again; later a lift takes
-    // effect and its answer is lost.
-    // Cause: the lift would take whatever generation comes next.
+    // Guards against a lift that undoes a withdrawal unknown to its operator by taking the next
+    // free generation. Later, a lift takes effect and its reply is lost.
     const daemons = await cluster.addReadyDaemons(['a1', 'b1']);
     const [a, b] = daemons as unknown as readonly [TestDaemon, TestDaemon];
     await cluster.settle(withdraw(a));
@@ -174,7 +170,9 @@
   }),
 );
 
-/** Advances in small steps; the version must be blocked whenever the daemon is ready. */
+/**
+ * Advances in small steps and checks that the version is blocked as soon as the daemon is ready.
+ */
 const checkUntilReady = async (cluster: TestCluster, daemon: TestDaemon): Promise<void> => {
   for (let steps = 0; !daemon.replica.getStatus().hasConfiguration; steps += 1) {
     assert.ok(steps < 400);
@@ -184,11 +182,11 @@
 };
 
 test(
-  'a daemon that boots before a withdrawal is durable knows of it when it is ready',
+  'a daemon that boots before a withdrawal is persisted knows of it once ready',
   withCluster(async (cluster) => {
-    // Symptom: a replaced VM gives work to a withdrawn version for a second or two.
-    // Sequence: withdrawn while the table is down; the table comes back, and a daemon boots at that moment.
-    // Cause: the table has all of the configuration but not yet this withdrawal, which peers hold.
+    // Guards against a new daemon that briefly uses a withdrawn version. It boots at the moment the
+    // table recovers, when the table has the configuration but not yet the withdrawal, which only
+    // peers know.
     const [old] = (await cluster.addReadyDaemons(['a1', 'a2'])) as [TestDaemon];
     cluster.table.inject({ isDown: true });
     await cluster.settle(withdraw(old));
@@ -199,12 +197,11 @@
 );
 
 test(
-  'a daemon that booted from a snapshot reads the withdrawals when the table is back',
+  'a daemon that booted from a snapshot loads withdrawals when the table recovers',
   withCluster(async (cluster) => {
-    // Symptom: a daemon gives work to a version whose withdrawal has long been in the table.
-    // Sequence: a snapshot is saved, a version is withdrawn, all daemons are replaced during an outage of
-    // the table, and load the snapshot; the table comes back.
-    // Cause: the head revision tells nothing of safe moves.
+    // Guards against using a version whose withdrawal is in the table. All daemons are replaced
+    // during an outage and boot from an older snapshot, and the head revision does not cover safe
+    // moves.
     const old = cluster.addDaemon('a1', { maintenanceMs: 1_000 });
     await cluster.advance(4_000);
     cluster.objectStore.setDown(true);
@@ -221,11 +218,10 @@
 
 [true, false].forEach((isWithdrawnFirst) => {
   test(
-    `a withdrawal holds, ${isWithdrawnFirst ? 'raised after it' : 'raised before it'}`,
+    `a withdrawal stays active if the share is raised ${isWithdrawnFirst ? 'after it' : 'before it'}`,
     withCluster(async (cluster) => {
-      // Symptom: a withdrawn version gets a larger share.
-      // Sequence: one operator raises the share of a roll-out, another withdraws its candidate elsewhere.
-      // Cause: share and withdrawal are written by different paths, in either order.
+      // Guards against giving a withdrawn version a larger share: the share and the withdrawal are
+      // written by different daemons on separate paths, in either order.
       const daemons = await cluster.addReadyDaemons(['a1', 'b1']);
       const [a, b] = daemons as unknown as readonly [TestDaemon, TestDaemon];
       const apply = (manifest: ReturnType<typeof buildRollout>, clientRequestId: string) =>
@@ -244,7 +240,7 @@
 });
 
 test(
-  'operators withdraw and lift by the resource Withdrawal',
+  'operators withdraw and lift with the Withdrawal resource',
   withCluster(async (cluster) => {
     const [a, b] = (await cluster.addReadyDaemons(['a1', 'b1'])) as unknown as readonly [
       TestDaemon,
--- a/packages/configuration/src/singleFlight.ts
+++ b/packages/configuration/src/singleFlight.ts
@@ -1,8 +1,8 @@
-/** Joins callers that ask for the same thing at the same time. */
+/** Deduplicates concurrent runs of the same task. */
 export class SingleFlight {
   readonly #running = new Map<string, Promise<void>>();
 
-  /** Runs the task, or joins the run under way with the same key. */
+  /** Runs the task, or returns the pending run with the same key. */
   run(key: string, task: () => Promise<void>): Promise<void> {
     const running = this.#running.get(key);
     if (running) {
--- a/packages/configuration/src/snapshotStore.ts
+++ b/packages/configuration/src/snapshotStore.ts
@@ -1,11 +1,14 @@
-/** Snapshots in the object store, for daemons that boot while the table is away. */
+/**
+ * Stores configuration snapshots in the object store, for daemons that boot while the table is
+ * unavailable.
+ */
 import { z } from 'zod';
 import { getErrorMessage, type Logger } from '@snipehaven/common';
 import type { ObjectStoreClient } from '@snipehaven/platform';
 import { safeMoveBatchSchema } from '@snipehaven/protocol';
 import { SNAPSHOT_PREFIX } from './constants.js';
 import { ConfigurationUnavailableError } from './errors.js';
-import { guardForm, restoreResource } from './restoreChange.js';
+import { checkFormat, restoreResource } from './restoreChange.js';
 import type { ReplicaState } from './replicaState.js';
 import { padRevision } from './rows.js';
 import type { SafeMoveState } from './safeMoves/safeMoveState.js';
@@ -22,14 +25,16 @@
   readonly objectStore: ObjectStoreClient;
   readonly state: ReplicaState;
   readonly safeMoves: SafeMoveState;
-  /** Names the writer, so that two writers of the same revision keep apart. */
+  /**
+   * Part of the object name, so that two writers of the same revision do not overwrite each other.
+   */
   readonly vm: string;
-  readonly keptSnapshots: number;
+  readonly retainedSnapshots: number;
   readonly logger: Logger;
 }
 
 const decode = (name: string, bytes: Uint8Array): StoredSnapshot =>
-  guardForm(name, () => snapshotSchema.parse(JSON.parse(Buffer.from(bytes).toString('utf8'))));
+  checkFormat(name, () => snapshotSchema.parse(JSON.parse(Buffer.from(bytes).toString('utf8'))));
 
 export class SnapshotStore {
   readonly #options: SnapshotStoreOptions;
@@ -41,13 +46,14 @@
   }
 
   /**
-   * Takes in all kept snapshots: the highest revision counts, and the safe moves of all are joined, since an
-   * older snapshot may hold a withdrawal that the writer of the newest had not heard of.
+   * Loads all retained snapshots. The highest revision is installed and the safe moves of all of
+   * them are merged, because an older snapshot may contain a withdrawal that the writer of the
+   * newest one had not received.
    */
   async load(): Promise<void> {
     const snapshots = await this.#readAll();
     if (snapshots.length === 0) {
-      throw new ConfigurationUnavailableError('the object store holds no readable snapshot');
+      throw new ConfigurationUnavailableError('the object store contains no readable snapshot');
     }
     const { state, safeMoves } = this.#options;
     snapshots.forEach((snapshot) => {
@@ -57,7 +63,7 @@
     });
   }
 
-  /** Saves the present state unless it is saved already, and deletes old snapshots. */
+  /** Saves the current state unless it is already saved, and deletes old snapshots. */
   async save(): Promise<void> {
     const { objectStore, state, safeMoves, vm } = this.#options;
     const { view } = state;
@@ -78,7 +84,7 @@
 
   async #readAll(): Promise<readonly StoredSnapshot[]> {
     const names = await this.#options.objectStore.list(SNAPSHOT_PREFIX);
-    const newest = [...names].sort().slice(-this.#options.keptSnapshots).reverse();
+    const newest = [...names].sort().slice(-this.#options.retainedSnapshots).reverse();
     const snapshots = await Promise.all(newest.map((name) => this.#read(name)));
     return snapshots.filter((snapshot) => snapshot !== undefined);
   }
@@ -88,15 +94,18 @@
       const bytes = await this.#options.objectStore.get(name);
       return bytes && decode(name, bytes);
     } catch (error) {
-      this.#options.logger.warn({ name, fault: getErrorMessage(error) }, 'snapshot not readable');
+      this.#options.logger.warn(
+        { name, fault: getErrorMessage(error) },
+        'could not read the snapshot',
+      );
       return undefined;
     }
   }
 
   async #deleteOld(): Promise<void> {
-    const { objectStore, keptSnapshots } = this.#options;
+    const { objectStore, retainedSnapshots } = this.#options;
     const names = await objectStore.list(SNAPSHOT_PREFIX);
-    const old = [...names].sort().slice(0, -keptSnapshots);
+    const old = [...names].sort().slice(0, -retainedSnapshots);
     await Promise.all(old.map((name) => objectStore.delete(name)));
   }
 }
--- a/packages/configuration/src/synchroniser.ts
+++ b/packages/configuration/src/synchroniser.ts
@@ -1,4 +1,4 @@
-/** Brings the replica up to what a peer or the table has. */
+/** Synchronises the replica with the table or with a peer. */
 import { getErrorMessage, type Logger } from '@snipehaven/common';
 import {
   fetchedChangesSchema,
@@ -7,7 +7,7 @@
 } from '@snipehaven/protocol';
 import type { ContactTracker } from './contactTracker.js';
 import { ConfigurationCorruptError } from './errors.js';
-import { guardForm, restoreChange, restoreResource } from './restoreChange.js';
+import { checkFormat, restoreChange, restoreResource } from './restoreChange.js';
 import type { ReplicaState } from './replicaState.js';
 import type { SafeMoveState } from './safeMoves/safeMoveState.js';
 import { SingleFlight } from './singleFlight.js';
@@ -24,48 +24,58 @@
 
 const TABLE = 'table';
 
-/** The first run may be one that began before the head was read. */
+/**
+ * More than one try is needed because the first may join a run that began before the head was read.
+ */
 const MAX_TRIES = 3;
 
 export class Synchroniser {
   readonly #options: SynchroniserOptions;
 
-  /** One catch-up from each source at a time: pushes and gossip may ask for many at once. */
-  readonly #flights = new SingleFlight();
+  /** Limits catch-up to one run per source, since pushes and gossip may request many at once. */
+  readonly #singleFlight = new SingleFlight();
 
   constructor(options: SynchroniserOptions) {
     this.#options = options;
   }
 
-  /** Throws the platform's errors. */
+  /** Throws the errors of the platform. */
   catchUpFromTable(): Promise<void> {
-    return this.#flights.run(TABLE, () => this.#readTable());
+    return this.#singleFlight.run(TABLE, () => this.#syncFromTable());
   }
 
-  /** Catches up until the revision is reached, which the table is known to have. */
+  /** Catches up to a revision that the table is known to contain. */
   async catchUpTo(revision: number): Promise<void> {
     const { state } = this.#options;
     for (let tries = 0; state.revision < revision; tries += 1) {
       if (tries === MAX_TRIES) {
-        throw new ConfigurationCorruptError(`the table lacks changes up to its head ${revision}`);
+        throw new ConfigurationCorruptError(
+          `the table has no changes up to its head revision ${revision}`,
+        );
       }
       await this.catchUpFromTable();
     }
   }
 
-  /** Fetches from a peer what this daemon lacks; rejects when the peer cannot give it. */
+  /** Fetches missing changes from a peer; rejects if the peer cannot provide them. */
   catchUpFromPeer(address: string, withSafeMoves = false): Promise<void> {
-    return this.#flights.run(address, () => this.#readPeer(address, withSafeMoves));
+    return this.#singleFlight.run(address, () => this.#syncFromPeer(address, withSafeMoves));
   }
 
-  /** The same in the background: a failure is logged, and anti-entropy tries again. */
+  /**
+   * Catches up from a peer in the background. A failure is only logged, because anti-entropy
+   * retries.
+   */
   startCatchUp(address: string): void {
     this.catchUpFromPeer(address).catch((error: unknown) =>
-      this.#options.logger.debug({ address, fault: getErrorMessage(error) }, 'catch-up failed'),
+      this.#options.logger.debug(
+        { address, fault: getErrorMessage(error) },
+        'could not catch up from the peer',
+      ),
     );
   }
 
-  async #readTable(): Promise<void> {
+  async #syncFromTable(): Promise<void> {
     const { state, reader, contact } = this.#options;
     const changes = await reader.fetchChanges(state.revision);
     if (changes) {
@@ -73,17 +83,17 @@
     } else {
       state.installSnapshot(await reader.loadSnapshot());
     }
-    contact.noteTable();
+    contact.recordTableContact();
   }
 
-  async #readPeer(address: string, withSafeMoves: boolean): Promise<void> {
+  async #syncFromPeer(address: string, withSafeMoves: boolean): Promise<void> {
     const { state } = this.#options;
     let before: number;
     let isFirst = true;
     do {
       before = state.revision;
       const fetched = await this.#fetch(address, before, withSafeMoves && isFirst);
-      this.#takeIn(fetched);
+      this.#applyFetched(fetched);
       isFirst = false;
     } while (state.revision > before && state.isBehind);
   }
@@ -95,10 +105,10 @@
   ): Promise<FetchedChanges> {
     const peer = this.#options.transport.getPeer(address);
     const answer = await peer.configuration.fetchChanges({ afterRevision, withSafeMoves });
-    return guardForm(`answer of ${address}`, () => fetchedChangesSchema.parse(answer));
+    return checkFormat(`response of ${address}`, () => fetchedChangesSchema.parse(answer));
   }
 
-  #takeIn(fetched: FetchedChanges): void {
+  #applyFetched(fetched: FetchedChanges): void {
     const { state, contact, safeMoves } = this.#options;
     if (fetched.safeMoves) {
       safeMoves.merge(fetched.safeMoves);
@@ -110,6 +120,6 @@
       const resources = fetched.resources.map(restoreResource);
       state.installSnapshot({ revision: fetched.revision, resources });
     }
-    contact.noteAnswer();
+    contact.recordPeerAnswer();
   }
 }
--- a/packages/configuration/src/tableReader.ts
+++ b/packages/configuration/src/tableReader.ts
@@ -15,7 +15,7 @@
 
 const MAX_LOAD_TRIES = 3;
 
-/** All rows with a prefix, page by page. */
+/** Reads all rows with a prefix, page by page. */
 export const scanAll = async (
   table: TableClient,
   prefix: string,
@@ -34,7 +34,7 @@
   }
 };
 
-/** Throws the platform's errors as they come. */
+/** Errors of the platform are passed through unchanged. */
 export class TableReader {
   readonly #table: TableClient;
 
@@ -47,7 +47,7 @@
     return restoreHead(rows[0]);
   }
 
-  /** Changes after a revision in order; undefined where the next one has been pruned. */
+  /** Changes after a revision in order; undefined if the next one has been pruned. */
   async fetchChanges(afterRevision: number): Promise<readonly ResourceChange[] | undefined> {
     const rows = await scanAll(this.#table, CHANGE_PREFIX, getChangeKey(afterRevision));
     const changes = rows.map((row) => restoreChangeRow(row).change);
@@ -56,9 +56,9 @@
   }
 
   /**
-   * All resources at one revision. Pages of a scan come from different moments, so that they may hold parts
-   * of changes made meanwhile; applying all changes since the scan began to it mends that, for each
-   * change carries the whole resource.
+   * Reads all resources at one revision. Pages of a scan are read at different times and may
+   * contain parts of concurrent changes. Applying all changes since the start of the scan makes the
+   * result consistent, because each change contains the whole resource.
    */
   async loadSnapshot(): Promise<Snapshot> {
     for (let tries = 0; tries < MAX_LOAD_TRIES; tries += 1) {
@@ -71,6 +71,6 @@
         return { revision: view.revision, resources: view.listAll() };
       }
     }
-    throw new ConfigurationUnavailableError('the table changes faster than it can be read');
+    throw new ConfigurationUnavailableError('the table changed faster than it could be read');
   }
 }
--- a/packages/configuration/src/testKit.ts
+++ b/packages/configuration/src/testKit.ts
@@ -1,4 +1,6 @@
-/** Fakes at the interfaces of the configuration, and daemons wired over them; for tests. */
+/**
+ * Test doubles for the dependencies of the configuration, and a cluster of daemons that use them.
+ */
 import {
   createRandom,
   createSilentLogger,
@@ -33,14 +35,14 @@
 const copy = <Value>(value: Value): Value =>
   value === undefined ? value : (JSON.parse(JSON.stringify(value)) as Value);
 
-/** What goes wrong at the table. */
+/** Simulated faults of the table. */
 interface TableFaults {
   isDown: boolean;
   delayMs: number;
-  /** So many transactions take effect and lose their answer. */
+  /** Number of transactions that take effect but lose their reply. */
   lostReplies: number;
-  /** So many transactions lose their answer and take effect later, by `deliverLate`. */
-  lateTransactions: number;
+  /** Number of transactions that lose their reply and take effect later, on `deliverDelayed`. */
+  delayedTransactions: number;
   /** Runs before each transaction takes effect. */
   beforeTransact: () => void;
 }
@@ -54,57 +56,59 @@
     isDown: false,
     delayMs: 0,
     lostReplies: 0,
-    lateTransactions: 0,
+    delayedTransactions: 0,
     beforeTransact: () => undefined,
   };
 
-  readonly #late: (readonly TableTransaction[])[] = [];
+  readonly #delayed: (readonly TableTransaction[])[] = [];
 
   inject(faults: Partial<TableFaults>): void {
     Object.assign(this.#faults, faults);
   }
 
   async transact(transactions: readonly TableTransaction[]): Promise<readonly TransactionResult[]> {
-    await this.#pass();
+    await this.#simulateCall();
     this.#faults.beforeTransact();
-    if (this.#faults.lateTransactions > 0) {
-      this.#faults.lateTransactions -= 1;
-      this.#late.push(copy(transactions));
-      throw new PlatformOutcomeUnknownError('no answer');
+    if (this.#faults.delayedTransactions > 0) {
+      this.#faults.delayedTransactions -= 1;
+      this.#delayed.push(copy(transactions));
+      throw new PlatformOutcomeUnknownError('the reply was lost');
     }
     const results = transactions.map((transaction) => this.#run(copy(transaction)));
     if (this.#faults.lostReplies > 0) {
       this.#faults.lostReplies -= 1;
-      throw new PlatformOutcomeUnknownError('no answer');
+      throw new PlatformOutcomeUnknownError('the reply was lost');
     }
     return copy(results);
   }
 
-  deliverLate(): readonly TransactionResult[] {
-    return this.#late.splice(0).flatMap((batch) => batch.map((late) => this.#run(late)));
+  deliverDelayed(): readonly TransactionResult[] {
+    return this.#delayed
+      .splice(0)
+      .flatMap((batch) => batch.map((transaction) => this.#run(transaction)));
   }
 
   async read(keys: readonly string[]): Promise<readonly TableRow[]> {
-    await this.#pass();
+    await this.#simulateCall();
     this.reads += keys.length;
     return copy(this.#get(keys));
   }
 
   async scan({ prefix, afterKey = '', limit }: ScanOptions): Promise<readonly TableRow[]> {
-    await this.#pass();
+    await this.#simulateCall();
     this.reads += 1;
     const keys = [...this.rows.keys()].filter((key) => key.startsWith(prefix) && key > afterKey);
     return copy(this.#get(keys.sort().slice(0, limit)));
   }
 
-  async #pass(): Promise<void> {
+  async #simulateCall(): Promise<void> {
     if (this.#faults.delayMs > 0) {
       await new Promise((resolve) => {
         setTimeout(resolve, this.#faults.delayMs);
       });
     }
     if (this.#faults.isDown) {
-      throw new PlatformRefusedError('the table is away');
+      throw new PlatformRefusedError('the table is unavailable');
     }
   }
 
@@ -142,33 +146,33 @@
   }
 
   async put(name: string, bytes: Uint8Array): Promise<void> {
-    this.#pass();
+    this.#checkAvailable();
     this.objects.set(name, bytes);
   }
 
   async get(name: string): Promise<Uint8Array | undefined> {
-    this.#pass();
+    this.#checkAvailable();
     return this.objects.get(name);
   }
 
   async delete(name: string): Promise<void> {
-    this.#pass();
+    this.#checkAvailable();
     this.objects.delete(name);
   }
 
   async list(prefix: string): Promise<readonly string[]> {
-    this.#pass();
+    this.#checkAvailable();
     return [...this.objects.keys()].filter((name) => name.startsWith(prefix));
   }
 
-  #pass(): void {
+  #checkAvailable(): void {
     if (this.#isDown) {
-      throw new PlatformRefusedError('the object store is away');
+      throw new PlatformRefusedError('the object store is unavailable');
     }
   }
 }
 
-/** One daemon's configuration with its place in the network. */
+/** A daemon of the cluster and its configuration replica. */
 export interface TestDaemon {
   readonly self: Member;
   readonly replica: ConfigurationReplica;
@@ -178,13 +182,13 @@
 const GOSSIP_PERIOD_MS = 1_000;
 const STEP_MS = 50;
 
-/** The part of a faked clock that the cluster needs. */
+/** The parts of the fake clock that the cluster uses. */
 interface TestClock {
   tickAsync(durationMs: number): Promise<number>;
   uninstall(): void;
 }
 
-/** Several daemons in one process over one table, with a clock that tests advance. */
+/** Several daemons in one process with a shared table and fake clock. */
 export class TestCluster {
   readonly table = new FakeTable();
 
@@ -192,11 +196,11 @@
 
   readonly random = createRandom(7);
 
-  /** Data centres that reach nothing outside, the table included. */
-  readonly cutOff = new Set<string>();
+  /** Data centres that are partitioned from the others and from the table. */
+  readonly partitioned = new Set<string>();
 
-  /** Pushes get lost while true; gossip and fetches arrive. */
-  #losesPushes = false;
+  /** While true, pushes are lost; gossip and fetches still arrive. */
+  #dropsPushes = false;
 
   readonly #clock: TestClock;
 
@@ -204,8 +208,8 @@
 
   #elapsedMs = 0;
 
-  /** Counts the daemons added and killed. */
-  #version = 0;
+  /** Incremented when a daemon is added or killed; part of the reachability cache key. */
+  #topologyVersion = 0;
 
   readonly #reachable = new Map<string, readonly TestDaemon[]>();
 
@@ -214,8 +218,8 @@
     setInvariantsFatal(true);
   }
 
-  losePushes(): void {
-    this.#losesPushes = true;
+  dropPushes(): void {
+    this.#dropsPushes = true;
   }
 
   addDaemon(vm: string, settings: Partial<ConfigurationSettings> = {}): TestDaemon {
@@ -242,7 +246,7 @@
     });
     const daemon = { self, replica };
     this.#daemons.set(self.address, daemon);
-    this.#version += 1;
+    this.#topologyVersion += 1;
     replica.start();
     return daemon;
   }
@@ -256,7 +260,7 @@
   kill({ self, replica }: TestDaemon): void {
     replica.stop();
     this.#daemons.delete(self.address);
-    this.#version += 1;
+    this.#topologyVersion += 1;
   }
 
   async advance(durationMs: number): Promise<void> {
@@ -269,20 +273,20 @@
     }
   }
 
-  /** Advances the clock until the promise is settled; returns what became of it. */
+  /** Advances the clock until the promise is settled; returns its result. */
   async settle<Result>(promise: Promise<Result>): Promise<Result> {
     let isSettled = false;
-    const noteSettled = (): void => {
+    const markSettled = (): void => {
       isSettled = true;
     };
-    promise.then(noteSettled, noteSettled);
+    promise.then(markSettled, markSettled);
     for (let steps = 0; !isSettled && steps < 1_000; steps += 1) {
       await this.advance(STEP_MS);
     }
     return promise;
   }
 
-  /** The error with which the promise rejects. */
+  /** Returns the error with which the promise rejects. */
   settleError(promise: Promise<unknown>): Promise<unknown> {
     return this.settle(
       promise.then(
@@ -300,7 +304,7 @@
   }
 
   #listReachable({ dataCentre }: Member): readonly TestDaemon[] {
-    const key = [dataCentre, this.#version, ...this.cutOff].join('/');
+    const key = [dataCentre, this.#topologyVersion, ...this.partitioned].join('/');
     const known = this.#reachable.get(key) ?? this.#findReachable(dataCentre);
     this.#reachable.set(key, known);
     return known;
@@ -308,14 +312,14 @@
 
   #findReachable(dataCentre: string): readonly TestDaemon[] {
     const isReachable = (other: string): boolean =>
-      other === dataCentre || (!this.cutOff.has(dataCentre) && !this.cutOff.has(other));
+      other === dataCentre || (!this.partitioned.has(dataCentre) && !this.partitioned.has(other));
     return [...this.#daemons.values()].filter(({ self }) => isReachable(self.dataCentre));
   }
 
   #createTableClient(dataCentre: string): TableClient {
     const reach = async (): Promise<FakeTable> => {
-      if (this.cutOff.has(dataCentre)) {
-        throw new PlatformRefusedError('cut off from the table');
+      if (this.partitioned.has(dataCentre)) {
+        throw new PlatformRefusedError('partitioned from the table');
       }
       return this.table;
     };
@@ -331,7 +335,7 @@
       getPeer: (address) => {
         const reach = async (isPush: boolean): Promise<PeerHandlers['configuration']> => {
           const peer = this.#listReachable(from).find(({ self }) => self.address === address);
-          if (!peer || (isPush && this.#losesPushes)) {
+          if (!peer || (isPush && this.#dropsPushes)) {
             throw new PeerUnreachableError(address);
           }
           const handlers = { configuration: peer.replica.handlers };
@@ -385,17 +389,19 @@
     };
   }
 
-  /** Each daemon exchanges payloads with one near peer and with one far one. */
+  /** Every daemon exchanges payloads with one local and one remote peer. */
   #gossip(): void {
     this.#daemons.forEach((daemon) => {
       const others = this.#listReachable(daemon.self).filter((other) => other !== daemon);
-      const isNear = ({ self }: TestDaemon): boolean => self.dataCentre === daemon.self.dataCentre;
-      const near = pickRandom(others.filter(isNear), this.random);
-      const far = pickRandom(
-        others.filter((other) => !isNear(other)),
+      const isLocal = ({ self }: TestDaemon): boolean => self.dataCentre === daemon.self.dataCentre;
+      const localPeer = pickRandom(others.filter(isLocal), this.random);
+      const remotePeer = pickRandom(
+        others.filter((other) => !isLocal(other)),
         this.random,
       );
-      [near, far].filter((peer) => peer !== undefined).forEach((peer) => exchange(daemon, peer));
+      [localPeer, remotePeer]
+        .filter((peer) => peer !== undefined)
+        .forEach((peer) => exchange(daemon, peer));
     });
   }
 }
@@ -407,7 +413,7 @@
     topic.mergePayload(copy(peerTopic?.getPayload(a.self)), b.self);
   });
 
-/** Runs a test with a cluster, and gives the clock back whatever happens. */
+/** Runs a test with a cluster and always restores the clock. */
 export const createClusterTest =
   (install: (options: { readonly now: number }) => TestClock) =>
   (run: (cluster: TestCluster) => Promise<void>) =>
@@ -422,7 +428,7 @@
 
 const KEY_LENGTH = 64;
 
-/** A manifest of a team whose key is made from the given digit. */
+/** Builds a team manifest whose key hash consists of the given digit. */
 export const buildTeam = (
   name: string,
   keyDigit: string,
--- a/packages/configuration/src/types.ts
+++ b/packages/configuration/src/types.ts
@@ -1,4 +1,4 @@
-/** What the other packages see of the configuration. */
+/** Interface of the configuration for other packages. */
 import type { SafeMove } from '@snipehaven/protocol';
 import type {
   ConfigurationView,
@@ -9,45 +9,47 @@
 } from '@snipehaven/resources';
 
 export interface ApplyOptions {
-  /** Makes a repeated write harmless: the same id never writes twice. */
+  /** Makes writes idempotent: the same id never writes twice. */
   readonly clientRequestId: string;
   readonly isDryRun?: boolean;
-  /** Who asks; kept in safe moves. */
+  /** Name of the requester, stored in safe moves. */
   readonly by?: string;
 }
 
-/** How far a revision has come, from what members report applied. */
+/** Propagation of a revision, from the revisions that members report as applied. */
 export interface InForceStatus {
   readonly revision: number;
   readonly totalDaemons: number;
   readonly appliedDaemons: number;
-  /** Lowest revision that any live member reports. */
+  /** Lowest revision reported by any live member. */
   readonly minRevision: number;
-  /** Incarnations that are behind. */
+  /** Incarnations that have not applied the revision. */
   readonly behind: readonly string[];
 }
 
 export interface ConfigurationStatus {
   readonly revision: number;
-  /** Highest revision heard of from anyone. */
+  /** Highest revision known from any source. */
   readonly headRevision: number;
-  /** No contact with the table nor with a peer that has it for too long. */
+  /** Whether there was no contact with the table, directly or through a peer, for too long. */
   readonly isStale: boolean;
   readonly hasConfiguration: boolean;
   readonly inForce: InForceStatus;
 }
 
-/** A change as watchers see it. */
+/** Called with the changes that were applied. */
 export type ConfigurationListener = (changes: readonly ResourceChange[]) => void;
 
 export interface ConfigurationStore {
   getView(): ConfigurationView;
   getStatus(): ConfigurationStatus;
-  /** Writes a resource; throws ConfigurationConflictError (with the present resource), Unavailable. */
+  /**
+   * Writes a resource; throws ConfigurationConflictError (with the stored resource) or
+   * ConfigurationUnavailableError.
+   */
   apply(manifest: ResourceManifest, options: ApplyOptions): Promise<Resource>;
-  /** Deletes a resource. */
   remove(kind: Kind, name: string, options: RemoveOptions): Promise<void>;
-  /** Changes after a revision that this daemon still keeps; undefined: history is gone. */
+  /** Retained changes after a revision; undefined if they are no longer retained. */
   listChanges(afterRevision: number): readonly ResourceChange[] | undefined;
   onChange(listener: ConfigurationListener): () => void;
 }
@@ -58,7 +60,7 @@
 
 export type SafeMoveKind = 'withdraw' | 'quarantine' | 'drain' | 'evacuate';
 
-/** Whether a safe move has reached the table yet. */
+/** Whether a safe move has been written to the table. */
 export type Durability = 'durable' | 'notDurableYet';
 
 export interface SafeMoveStatus {
@@ -66,19 +68,28 @@
   readonly durability: Durability;
 }
 
-/** Marks that any daemon may set at once, even cut off; only a higher generation lifts them. */
+/**
+ * Safe moves only restrict what may run, so any daemon may activate one immediately, even while
+ * partitioned. Only a higher generation lifts one.
+ */
 export interface SafeMoves {
-  /** Sets a mark in force here at once, spreads it, and writes it to the table when it answers. */
+  /**
+   * Activates a safe move: it takes effect here immediately, is sent to all peers and is written to
+   * the table once that is available.
+   */
   activate(
     kind: SafeMoveKind,
     subject: string,
     reason: string,
     by: string,
   ): Promise<SafeMoveStatus>;
-  /** Lifts a mark: a risky move, refused while the table is away. */
+  /**
+   * Lifts a safe move. Lifting is not itself a safe move and is rejected while the table is
+   * unavailable.
+   */
   lift(kind: SafeMoveKind, subject: string, reason: string, by: string): Promise<SafeMoveStatus>;
   isActive(kind: SafeMoveKind, subject: string): boolean;
-  /** Whether no new work may go to the version: withdrawn or quarantined. */
+  /** Whether the version is withdrawn or quarantined, so that it gets no new work. */
   isVersionBlocked(version: string): boolean;
   list(): readonly SafeMoveStatus[];
   onChange(listener: (move: SafeMove) => void): () => void;
--- a/packages/configuration/src/view.ts
+++ b/packages/configuration/src/view.ts
@@ -1,4 +1,4 @@
-/** Immutable states of the configuration. */
+/** Immutable views of the configuration. */
 import type { ConfigurationView, Kind, Resource, ResourceChange } from '@snipehaven/resources';
 
 type ResourcesByName = ReadonlyMap<string, Resource>;
@@ -6,7 +6,7 @@
 
 const EMPTY: ResourcesByName = new Map();
 
-const changeNames = (names: ResourcesByName, change: ResourceChange): ResourcesByName => {
+const applyToNames = (names: ResourcesByName, change: ResourceChange): ResourcesByName => {
   const next = new Map(names);
   if (change.resource) {
     next.set(change.name, change.resource);
@@ -16,7 +16,9 @@
   return next;
 };
 
-/** One state; a change makes a new one that shares all other kinds. */
+/**
+ * The configuration at one revision. A change creates a new view that shares the unchanged kinds.
+ */
 export class ReplicaView implements ConfigurationView {
   readonly revision: number;
 
@@ -27,7 +29,7 @@
     this.#kinds = kinds;
   }
 
-  /** The state of a snapshot. */
+  /** Creates the view of a snapshot. */
   static create(revision: number, resources: readonly Resource[]): ReplicaView {
     const kinds = new Map<Kind, Map<string, Resource>>();
     resources.forEach((resource) => {
@@ -49,9 +51,9 @@
     return [...this.#kinds.values()].flatMap((names) => [...names.values()]);
   }
 
-  /** The state after one more change. */
+  /** Returns the view after one more change. */
   withChange(change: ResourceChange): ReplicaView {
-    const names = changeNames(this.#kinds.get(change.kind) ?? EMPTY, change);
+    const names = applyToNames(this.#kinds.get(change.kind) ?? EMPTY, change);
     const kinds = new Map(this.#kinds).set(change.kind, names);
     return new ReplicaView(change.revision, kinds);
   }
--- a/packages/configuration/src/withdrawals.ts
+++ b/packages/configuration/src/withdrawals.ts
@@ -1,4 +1,4 @@
-/** Withdrawals as operators see them: resources by name, safe moves underneath. */
+/** Presents withdrawals, which are safe moves, to operators as resources. */
 import type { ConfigurationView, Kind, Resource, WithdrawalSpec } from '@snipehaven/resources';
 import { ConfigurationConflictError } from './errors.js';
 import type { RemoveOptions, SafeMoves, SafeMoveStatus } from './types.js';
@@ -7,7 +7,9 @@
 const PREFIX = 'withdraw/';
 const DEFAULT_BY = 'operator';
 
-/** The resource that shows a withdrawal; its version is the generation of the mark. */
+/**
+ * Converts a safe move to a Withdrawal resource, whose version is the generation of the safe move.
+ */
 export const toWithdrawal = ({ move }: SafeMoveStatus): Resource<typeof KIND> => ({
   kind: KIND,
   metadata: {
@@ -53,8 +55,9 @@
 });
 
 /**
- * Applies a Withdrawal manifest: sets the mark, or lifts it where `isWithdrawn` is false. Setting never
- * fails on an old resourceVersion, for a withdrawal must not wait for its operator to read again.
+ * Applies a Withdrawal manifest: activates the withdrawal, or lifts it if `isWithdrawn` is false.
+ * Activating ignores an outdated resourceVersion, because a withdrawal must not wait until the
+ * operator has read the resource again.
  */
 export const applyWithdrawal = async (
   safeMoves: SafeMoves,
@@ -71,7 +74,7 @@
   return toWithdrawal(status);
 };
 
-/** Deletes a Withdrawal: lifts the mark. */
+/** Lifts the withdrawal. */
 export const removeWithdrawal = async (
   safeMoves: SafeMoves,
   name: string,
@@ -82,7 +85,7 @@
   }
 };
 
-/** The view with the withdrawals in force as resources. */
+/** Adds the active withdrawals to the view as resources. */
 export const withWithdrawals = (
   view: ConfigurationView,
   safeMoves: SafeMoves,
--- a/packages/configuration/src/writePlan.ts
+++ b/packages/configuration/src/writePlan.ts
@@ -1,4 +1,4 @@
-/** What a write does to a resource, and the table transaction that does it. */
+/** Builds the change and the table transaction of a write. */
 import { createHash } from 'node:crypto';
 import { isDeepStrictEqual } from 'node:util';
 import type { Random } from '@snipehaven/common';
@@ -7,7 +7,7 @@
 import { HEAD_KEY, UID_DIGITS } from './constants.js';
 import { getChangeKey, getRequestKey, getResourceKey, type Head } from './rows.js';
 
-/** A write as an operator asked for it; without a spec it deletes. */
+/** A write requested by an operator; it deletes the resource if there is no spec. */
 export interface WriteRequest {
   readonly kind: Kind;
   readonly name: string;
@@ -17,27 +17,27 @@
   readonly isDryRun: boolean;
 }
 
-/** What the table held when the write was planned. */
+/** Table contents that the write is based on. */
 export interface WriteBase {
   readonly head: Head;
   readonly present: Resource | undefined;
   readonly rowVersion: number;
 }
 
-/** Tells a repeated request from another one under the same id. */
+/** Digest that distinguishes a repeated request from a different one with the same id. */
 export const digestRequest = ({ kind, name, spec }: WriteRequest): string =>
   createHash('sha256')
     .update(JSON.stringify([kind, name, spec ?? null]))
     .digest('base64url');
 
-/** Whether the resource is already as asked for, so that nothing need be written. */
-export const isAlreadyWritten = (request: WriteRequest, present: Resource | undefined): boolean =>
+/** Whether the resource already has the requested spec, so that no write is needed. */
+export const isUnchanged = (request: WriteRequest, present: Resource | undefined): boolean =>
   present !== undefined && isDeepStrictEqual(present.spec, request.spec);
 
 const createUid = (random: Random): string =>
   Array.from({ length: UID_DIGITS }, () => random.nextInt(36).toString(36)).join('');
 
-/** The resource that the write makes; a resource made anew under an old name gets another uid. */
+/** Builds the written resource. A resource that is recreated under an old name gets a new uid. */
 export const buildResource = (
   { kind, name, spec }: WriteRequest & { readonly spec: ResourceManifest['spec'] },
   { head, present }: WriteBase,
@@ -58,7 +58,6 @@
   };
 };
 
-/** The next change of the configuration. */
 export const buildChange = (
   request: WriteRequest,
   base: WriteBase,
@@ -72,9 +71,9 @@
 };
 
 /**
- * The head's condition makes every write follow the one before it: a write whose answer was lost and that
- * arrives late finds a newer head and does nothing. The request row's condition refuses a second write
- * under the same client request id, whatever others wrote in between.
+ * The condition on the head row orders all writes: a write whose reply was lost and that arrives
+ * late finds a newer head and has no effect. The condition on the request row rejects a second
+ * write with the same client request id, whatever was written in between.
  */
 export const buildTransaction = (
   request: WriteRequest,
--- a/packages/configuration/src/writeProgress.ts
+++ b/packages/configuration/src/writeProgress.ts
@@ -1,7 +1,6 @@
-/** The tries of one write. */
 import { PlatformOutcomeUnknownError } from '@snipehaven/platform';
 
-/** What is known of one write over its tries. */
+/** Tracks the attempts of one write. */
 export class WriteProgress {
   readonly #deadlineMs: number;
 
@@ -13,22 +12,22 @@
     this.#deadlineMs = deadlineMs;
   }
 
-  /** Whether a try went out whose answer was lost. */
+  /** Whether an attempt was sent whose reply was lost, so that it may have taken effect. */
   get mayHaveWritten(): boolean {
     return this.#mayHaveWritten;
   }
 
-  isOver(): boolean {
+  isExpired(): boolean {
     return Date.now() >= this.#deadlineMs;
   }
 
-  /** Counts a failed try; returns how many came before. */
-  nextFailure(): number {
+  /** Counts a failed attempt; returns the number of earlier failures. */
+  countFailure(): number {
     this.#failures += 1;
     return this.#failures - 1;
   }
 
-  noteFault(error: unknown): void {
+  recordError(error: unknown): void {
     this.#mayHaveWritten ||= error instanceof PlatformOutcomeUnknownError;
   }
 }
--- a/packages/configuration/src/writer.test.ts
+++ b/packages/configuration/src/writer.test.ts
@@ -33,11 +33,10 @@
   replica.getView().get('Team', name)?.spec.qualityTarget;
 
 test(
-  'of two operators who change the same version one gets a conflict with what is stored',
+  'rejects one of two concurrent changes of the same version with the stored resource',
   withCluster(async (cluster) => {
-    // Symptom: an operator's change is gone without a word.
-    // Sequence: two operators read a team, both write it, at two daemons at the same instant.
-    // Cause: the later write knows nothing of the earlier.
+    // Guards against lost updates when two operators write the same team at different daemons at
+    // the same time.
     const [a, b] = await createPair(cluster);
     const first = await cluster.settle(
       a.replica.apply(buildTeam('t', 'a'), { clientRequestId: 'r0' }),
@@ -57,11 +56,10 @@
 );
 
 test(
-  'writes of many operators to different resources all happen',
+  'concurrent writes to different resources all succeed',
   withCluster(async (cluster) => {
-    // Symptom: an apply fails though nobody else touched the resource.
-    // Sequence: two daemons write different teams at once, over and over.
-    // Cause: all writes race for the one head row.
+    // Guards against failed writes to unrelated resources, since all writes compete for the single
+    // head row.
     const [a, b] = await createPair(cluster);
     cluster.table.inject({ delayMs: 20 });
     const writes = Array.from({ length: 16 }, (_, index) =>
@@ -78,12 +76,11 @@
 );
 
 test(
-  'a write whose answer is lost happens once, also when the operator repeats it elsewhere',
+  'a write whose reply is lost takes effect once, even if it is retried at another daemon',
   withCluster(async (cluster) => {
-    // Symptom: one command makes two revisions, the second undoing another operator's change.
-    // Sequence: the table takes the write, the answer is lost; a second operator writes; the first one's
-    // client repeats the command at another daemon.
-    // Cause: no answer looks the same whether the write took effect or not.
+    // Guards against one command that creates two revisions, the second undoing the change of
+    // another operator, when the reply to the first attempt is lost and the client retries at
+    // another daemon.
     const [a, b] = await createPair(cluster);
     cluster.table.inject({ lostReplies: 1 });
     const manifest = buildTeam('t', 'a', { qualityTarget: 0.1 });
@@ -104,19 +101,18 @@
 );
 
 test(
-  'a write that arrives after its retry does nothing',
+  'a write that arrives after its retry has no effect',
   withCluster(async (cluster) => {
-    // Symptom: a value comes back minutes after it was replaced.
-    // Sequence: a write hangs on its way; its retry succeeds; another operator writes; the first one arrives.
-    // Cause: the network delivers a request after its sender gave it up.
+    // Guards against restoring a replaced value when the network delivers a write after its retry
+    // and another write have succeeded.
     const [a, b] = await createPair(cluster);
-    cluster.table.inject({ lateTransactions: 1 });
+    cluster.table.inject({ delayedTransactions: 1 });
     const manifest = buildTeam('t', 'a', { qualityTarget: 0.1 });
     await cluster.settle(a.replica.apply(manifest, { clientRequestId: 'r1' }));
     const other = buildTeam('t', 'a', { qualityTarget: 0.9 });
     await cluster.settle(b.replica.apply(other, { clientRequestId: 'r2' }));
     assert.equal(
-      cluster.table.deliverLate().map(({ kind }) => kind),
+      cluster.table.deliverDelayed().map(({ kind }) => kind),
       ['conflict'],
     );
     assert.is(countChanges(cluster), 2);
@@ -124,11 +120,11 @@
 );
 
 test(
-  'a write with the table away is refused in time, and says whether it may have happened',
+  'rejects a write by its deadline if the table is down, and reports whether it may have taken effect',
   withCluster(async (cluster) => {
-    // Symptom: an operator repeats under a new id a write that had taken effect.
-    // Sequence: the table goes away before, or just after, it takes a write.
-    // Cause: the two look alike unless the daemon remembers that a try went out.
+    // Guards against repeating a write under a new id although it took effect. An outage just
+    // before and one just after the write look alike unless the daemon remembers that an attempt
+    // was sent.
     const [a] = await createPair(cluster);
     cluster.table.inject({ isDown: true });
     const refused = a.replica.apply(buildTeam('t', 'a'), { clientRequestId: 'r1' });
@@ -146,12 +142,10 @@
 );
 
 test(
-  'a team deleted and made again is another one',
+  'a recreated team is a different resource',
   withCluster(async (cluster) => {
-    // Symptom: sessions and bills of a deleted team go on under its successor.
-    // Sequence: an operator deletes a team and creates one of the same name; a late client still holds the
-    // old resourceVersion.
-    // Cause: the name alone does not tell the two apart.
+    // Guards against confusing a recreated team with the deleted one of the same name, whose
+    // sessions and bills would continue, while a client still holds the old resourceVersion.
     const [a, b] = await createPair(cluster);
     const old = await cluster.settle(
       a.replica.apply(buildTeam('t', 'a'), { clientRequestId: 'r1' }),
@@ -172,7 +166,7 @@
 );
 
 test(
-  'broken references are refused with path and rule, a dry run writes nothing',
+  'rejects invalid references with path and rule, and writes nothing in a dry run',
   withCluster(async (cluster) => {
     const [a] = await createPair(cluster);
     const apply = (manifest: Parameters<typeof a.replica.apply>[0], id: string) =>
--- a/packages/configuration/src/writer.ts
+++ b/packages/configuration/src/writer.ts
@@ -1,4 +1,4 @@
-/** Writes resources to the table, one at a time. */
+/** Writes resources to the table, one write at a time. */
 import {
   invariant,
   sleep,
@@ -36,7 +36,7 @@
   buildChange,
   buildTransaction,
   digestRequest,
-  isAlreadyWritten,
+  isUnchanged,
   type WriteBase,
   type WriteRequest,
 } from './writePlan.js';
@@ -49,13 +49,13 @@
   readonly actorSystem: ActorSystem;
   readonly timeline: TimelineRecorder;
   readonly settings: ConfigurationSettings;
-  /** Whether the configuration has been loaded, so that references can be checked. */
+  /** Whether the configuration is loaded, which checking references requires. */
   readonly isLoaded: () => boolean;
-  /** Spreads an accepted change. */
-  readonly spread: (changes: readonly ResourceChange[]) => void;
+  /** Sends an accepted change to all peers. */
+  readonly broadcast: (changes: readonly ResourceChange[]) => void;
 }
 
-/** The resource as it is after the write; undefined: deleted. */
+/** The resource after the write; undefined if it was deleted. */
 interface WriteOutcome {
   readonly resource: Resource | undefined;
 }
@@ -68,8 +68,8 @@
   readonly reject: (error: unknown) => void;
 }
 
-interface ReadBase extends WriteBase {
-  /** The row that an earlier try of the same request left. */
+interface StoredBase extends WriteBase {
+  /** Request row left by an earlier attempt of the same request. */
   readonly written: RequestRow | undefined;
 }
 
@@ -93,7 +93,7 @@
     );
   }
 
-  /** Writes or deletes; resolves with the resource as written. */
+  /** Writes or deletes a resource; resolves with the resource as written. */
   write(request: WriteRequest): Promise<Resource | undefined> {
     return new Promise((resolve, reject) => {
       const deadlineMs = Date.now() + this.#options.settings.writeDeadlineMs;
@@ -101,26 +101,29 @@
     });
   }
 
-  /** Refuses what is still queued; the write under way goes on. */
+  /** Rejects queued writes; a write in progress continues. */
   stop(): void {
     this.#isStopped = true;
   }
 
   async #handleWrite({ request, deadlineMs, resolve, reject }: WriteMessage): Promise<void> {
     try {
-      const outcome = await this.#tryUntilDeadline(request, deadlineMs);
+      const outcome = await this.#writeWithRetries(request, deadlineMs);
       resolve(outcome.resource);
     } catch (error) {
       reject(error);
     }
   }
 
-  /** A write whose turn comes after its deadline is refused untried: its operator has given up. */
-  async #tryUntilDeadline(request: WriteRequest, deadlineMs: number): Promise<WriteOutcome> {
+  /**
+   * A write that reaches the front of the queue after its deadline is rejected without an attempt,
+   * because its operator has given up.
+   */
+  async #writeWithRetries(request: WriteRequest, deadlineMs: number): Promise<WriteOutcome> {
     const { settings, random } = this.#options;
     const progress = new WriteProgress(deadlineMs);
-    if (this.#isStopped || progress.isOver()) {
-      throw Writer.#giveUp(request, progress, undefined);
+    if (this.#isStopped || progress.isExpired()) {
+      throw Writer.#createFailure(request, progress, undefined);
     }
     for (;;) {
       const outcome = await this.#tryOnce(request, progress);
@@ -128,11 +131,14 @@
         return outcome;
       }
       const { retryBaseMs, retryMaxMs } = settings;
-      await sleep(getBackoffMs(progress.nextFailure(), retryBaseMs, retryMaxMs, random));
+      await sleep(getBackoffMs(progress.countFailure(), retryBaseMs, retryMaxMs, random));
     }
   }
 
-  /** Undefined: lost a race or the table did not answer, and there is time for another try. */
+  /**
+   * Returns undefined if the write lost a race or the table did not answer, and there is time for
+   * another attempt.
+   */
   async #tryOnce(
     request: WriteRequest,
     progress: WriteProgress,
@@ -149,16 +155,20 @@
       }
       cause = error;
     }
-    if (progress.isOver()) {
-      throw Writer.#giveUp(request, progress, cause);
+    if (progress.isExpired()) {
+      throw Writer.#createFailure(request, progress, cause);
     }
     return undefined;
   }
 
-  static #giveUp({ kind, name }: WriteRequest, progress: WriteProgress, cause: unknown): Error {
+  static #createFailure(
+    { kind, name }: WriteRequest,
+    progress: WriteProgress,
+    cause: unknown,
+  ): Error {
     return progress.mayHaveWritten
       ? new ConfigurationOutcomeUnknownError(
-          `${kind} ${name} may have been written: repeat with the same client request id`,
+          `${kind} ${name} may have been written: retry with the same client request id`,
           { cause },
         )
       : new ConfigurationUnavailableError(
@@ -178,8 +188,8 @@
     if (!(await this.#catchUp(base))) {
       return undefined;
     }
-    this.#check(request, base);
-    if (request.spec !== undefined && isAlreadyWritten(request, base.present)) {
+    this.#validate(request, base);
+    if (request.spec !== undefined && isUnchanged(request, base.present)) {
       return { resource: base.present };
     }
     const change = buildChange(request, base, this.#options.random);
@@ -188,7 +198,7 @@
       : this.#commit(request, base, change, progress);
   }
 
-  async #readBase(request: WriteRequest): Promise<ReadBase> {
+  async #readBase(request: WriteRequest): Promise<StoredBase> {
     const resourceKey = getResourceKey(request.kind, request.name);
     const requestKey = getRequestKey(request.clientRequestId);
     const rows = await this.#options.table.read([HEAD_KEY, resourceKey, requestKey]);
@@ -203,20 +213,21 @@
   }
 
   /**
-   * References are checked against the very revision that the write's condition names. False: the head as
-   * read is older than what is in force, because another write overtook the read.
+   * References are checked against exactly the revision that the write is conditional on. Returns
+   * false if the head that was read is older than the applied revision, because another write
+   * overtook the read.
    */
   async #catchUp({ head }: WriteBase): Promise<boolean> {
     const { state, synchroniser, isLoaded } = this.#options;
     if (!isLoaded()) {
-      throw new ConfigurationUnavailableError('the configuration has not been loaded yet');
+      throw new ConfigurationUnavailableError('the configuration is not loaded yet');
     }
     state.observeHead(head.revision);
     await synchroniser.catchUpTo(head.revision);
     return state.revision === head.revision;
   }
 
-  #check(request: WriteRequest, { present }: WriteBase): void {
+  #validate(request: WriteRequest, { present }: WriteBase): void {
     const { kind, name, spec, resourceVersion } = request;
     const found = present?.metadata.resourceVersion ?? 0;
     if (resourceVersion !== undefined && resourceVersion !== found) {
@@ -246,21 +257,21 @@
         return undefined;
       }
     } catch (error) {
-      progress.noteFault(error);
+      progress.recordError(error);
       throw error;
     }
-    this.#accept(change);
+    this.#applyAccepted(change);
     return { resource: change.resource };
   }
 
   /**
-   * What goes wrong: the table takes the write and its answer is lost; a second write would undo what
-   * another operator wrote meanwhile. One notices two revisions from one command. The request row tells that
-   * the write was done, and its change row what was written.
+   * If the reply of the table is lost, writing again could undo a concurrent change of another
+   * operator, and one command would create two revisions. The request row shows that the write took
+   * effect, and its change row what was written.
    */
   async #resolveWritten(request: WriteRequest, written: RequestRow): Promise<WriteOutcome> {
     if (written.digest !== digestRequest(request)) {
-      const rule = 'was used for another write already';
+      const rule = 'was already used for another write';
       throw new ResourceInvalidError(`${request.kind} ${request.name}`, [
         { path: 'clientRequestId', rule },
       ]);
@@ -272,21 +283,21 @@
     const { change } = restoreChangeRow(row);
     if (change.revision > this.#options.state.revision) {
       await this.#options.synchroniser.catchUpTo(change.revision);
-      this.#accept(change);
+      this.#applyAccepted(change);
     }
     return { resource: change.resource };
   }
 
-  #accept(change: ResourceChange): void {
-    const { state, timeline, spread } = this.#options;
+  #applyAccepted(change: ResourceChange): void {
+    const { state, timeline, broadcast } = this.#options;
     state.applyChanges([change]);
     const { revision, kind, name } = change;
     invariant(
       state.revision >= revision,
       'configurationNeverReverts',
-      `accepted revision ${revision} is not in force at ${state.revision}`,
+      `accepted revision ${revision} was not applied, the replica is at ${state.revision}`,
     );
     timeline.record('configurationAccepted', {}, { revision, kind, name });
-    spread([change]);
+    broadcast([change]);
   }
 }
