--- a/packages/configuration/src/constants.ts
+++ b/packages/configuration/src/constants.ts
@@ -29,7 +29,10 @@
    */
   readonly minPollMs: number;
   readonly maxPollBackoffMs: number;
-  /** The configuration is stale after this long without contact to the table. */
+  /**
+   * The configuration is stale after this long without contact to the table, directly or through a
+   * peer.
+   */
   readonly staleAfterMs: number;
   /**
    * A booting daemon serves what it has after hearing from no source with a newer revision for this
--- a/packages/configuration/src/readiness.ts
+++ b/packages/configuration/src/readiness.ts
@@ -5,9 +5,10 @@
 
 /**
  * A new daemon might load an old snapshot while its peers have newer revisions, and run requests
- * under permissions that have been revoked. It therefore becomes ready only after it has reached
- * the highest revision it heard of and has contacted a source other than the object store. Only if
- * nobody with a newer revision can be reached for `isolatedAfterMs` does it serve what it has.
+ * under permissions that have been revoked, for example with versions that a team no longer allows.
+ * It therefore becomes ready only after it has reached the highest revision it heard of and has
+ * contacted a source other than the object store. Only if nobody with a newer revision can be
+ * reached for `isolatedAfterMs` does it serve what it has.
  */
 export class Readiness {
   readonly #state: ReplicaState;
--- a/packages/rollouts/src/constants.ts
+++ b/packages/rollouts/src/constants.ts
@@ -19,7 +19,10 @@
 /** Payload limits per gossip message within the data centre. */
 export const LOCAL_EVIDENCE_BYTES = 320;
 export const LOCAL_ROLLOUT_BYTES = 120;
-/** Payload limits per gossip message between data centres, which only a few relays exchange. */
+/**
+ * Payload limits per gossip message between data centres, which a few relays send on behalf of all
+ * daemons.
+ */
 export const REMOTE_EVIDENCE_BYTES = 360;
 export const REMOTE_ROLLOUT_BYTES = 240;
 /**
--- a/packages/rollouts/src/evidence/evidenceCells.ts
+++ b/packages/rollouts/src/evidence/evidenceCells.ts
@@ -49,10 +49,10 @@
   }
 
   /** Counts an outcome observed by this daemon. */
-  count(key: EvidenceKey, outcome: Outcome): void {
+  recordOutcome(key: EvidenceKey, outcome: Outcome): void {
     const entry = this.#getOrCreate(key);
     if (entry !== undefined) {
-      this.#notifyChange(key, entry.count(this.#options.incarnation, outcome));
+      this.#notifyChange(key, entry.recordOutcome(this.#options.incarnation, outcome));
     }
   }
 
--- a/packages/rollouts/src/evidence/evidenceEntry.ts
+++ b/packages/rollouts/src/evidence/evidenceEntry.ts
@@ -97,7 +97,7 @@
   }
 
   /** Counts an outcome for the source; returns the updated share. */
-  count(source: string, outcome: Outcome): EvidenceShare {
+  recordOutcome(source: string, outcome: Outcome): EvidenceShare {
     const nowMs = Date.now();
     const { era } = this.#daemonShares;
     this.#daemonShares = addOutcome(this.#daemonShares, source, outcome, nowMs);
--- a/packages/rollouts/src/rater/pairScores.ts
+++ b/packages/rollouts/src/rater/pairScores.ts
@@ -18,7 +18,7 @@
 export class PairScores {
   readonly #pending = new Map<string, PendingPair>();
 
-  /** Starts pending for the scores of a pair. */
+  /** Starts waiting for the scores of a pair. */
   register(pairId: string, candidateVersion: string): void {
     this.#pending.set(pairId, { candidateVersion });
     if (this.#pending.size > MAX_OUTSTANDING_PAIRS) {
--- a/packages/rollouts/src/rater/scorePoller.ts
+++ b/packages/rollouts/src/rater/scorePoller.ts
@@ -41,7 +41,7 @@
 
   #isPolling = false;
 
-  #advancedAtMs = -Infinity;
+  #ratedSeqAdvancedAtMs = -Infinity;
 
   constructor(options: ScorePollerOptions) {
     this.#options = options;
@@ -52,15 +52,15 @@
   }
 
   /** Time at which new scores were last reported. */
-  get advancedAtMs(): number {
-    return this.#advancedAtMs;
+  get ratedSeqAdvancedAtMs(): number {
+    return this.#ratedSeqAdvancedAtMs;
   }
 
   /** Records the progress of another poller. */
   recordRatedSeq(seq: number): void {
     if (seq > (this.#ratedSeq ?? -1)) {
       this.#ratedSeq = seq;
-      this.#advancedAtMs = Date.now();
+      this.#ratedSeqAdvancedAtMs = Date.now();
     }
   }
 
@@ -105,8 +105,8 @@
   }
 
   /**
-   * Starts slightly before the known progress of the previous poller, or else before the last
-   * published score.
+   * Starts slightly before the known progress of the previous poller, or else slightly before the
+   * last published score.
    */
   async #findStartSeq(): Promise<number> {
     const { rater, health } = this.#options;
--- a/packages/rollouts/src/rollout/exposureAccount.ts
+++ b/packages/rollouts/src/rollout/exposureAccount.ts
@@ -46,8 +46,9 @@
 
   /**
    * Answers are counted when they end, so under load many requests could be assigned before the
-   * first one ends and a grant of four could become fifty answers. Each assignment therefore
-   * reserves its part of the grant until its answers have ended or the reservation expires.
+   * first one ends: a grant of four could become fifty answers, and daemons would report more
+   * answers than they were granted. Each assignment therefore reserves its part of the grant until
+   * its answers have ended or the reservation expires.
    */
   reserve({ requestId, isSession, answers }: ReservationRequest): void {
     const durationMs = isSession ? SESSION_RESERVATION_MS : RESERVATION_MS;
--- a/packages/rollouts/src/rollout/grantPlanner.ts
+++ b/packages/rollouts/src/rollout/grantPlanner.ts
@@ -29,7 +29,7 @@
   /** Time at which each dead daemon was first found dead. */
   readonly #deadSinceMs = new Map<string, number>();
 
-  #plan = 0;
+  #planNumber = 0;
 
   #renewedAtMs = -Infinity;
 
@@ -58,8 +58,8 @@
     if (changed.length === 0) {
       return;
     }
-    this.#plan += 1;
-    changed.forEach((grant) => this.#states.mergeGrant({ ...grant, plan: this.#plan }));
+    this.#planNumber += 1;
+    changed.forEach((grant) => this.#states.mergeGrant({ ...grant, plan: this.#planNumber }));
     if (isDue) {
       this.#renewedAtMs = Date.now();
     }
--- a/packages/rollouts/src/rollout/rolloutLeaseHolder.ts
+++ b/packages/rollouts/src/rollout/rolloutLeaseHolder.ts
@@ -139,7 +139,10 @@
     }
   }
 
-  /** Stages are not advanced while the rater is down or the version is withdrawn or quarantined. */
+  /**
+   * Missing evidence and safe moves take precedence over progress: stages are not advanced while
+   * the rater is down or the version is withdrawn or quarantined.
+   */
   #restrictVerdict(result: GuardResult, candidateVersion: string): GuardResult['verdict'] {
     const { safeMoves, isRaterUp } = this.#options;
     const mayAdvance = isRaterUp() && !safeMoves.isVersionBlocked(candidateVersion);
--- a/packages/rollouts/src/rollout/rolloutRows.ts
+++ b/packages/rollouts/src/rollout/rolloutRows.ts
@@ -39,7 +39,10 @@
   readonly promotedVersion?: string;
 }
 
-/** `refused`: the lease, the row or a safe move of the version has changed. */
+/**
+ * `refused`: another holder, a concurrent write, or a withdrawal or quarantine of the version
+ * prevents the write.
+ */
 export type RolloutWriteResult =
   { readonly kind: 'written'; readonly version: number } | { readonly kind: 'refused' };
 
@@ -66,9 +69,9 @@
    *
    * Without these conditions, a holder that freezes between checking its lease and writing could
    * wake up after the lease has moved, and advance a roll-out that the new holder has halted or an
-   * operator has withdrawn. The table refuses such a late write in whichever order the writes
-   * arrive. If the reply to a write is lost, the next write of the holder is refused and it rereads
-   * the stored state.
+   * operator has withdrawn; the share would then change under two fences. The table refuses such a
+   * late write in whichever order the writes arrive. If the reply to a write is lost, the next
+   * write of the holder is refused and it rereads the stored state.
    */
   async write(write: RolloutWrite): Promise<RolloutWriteResult> {
     const conditions = await this.#findConditions(write);
--- a/packages/rollouts/src/rollout/rolloutStates.ts
+++ b/packages/rollouts/src/rollout/rolloutStates.ts
@@ -72,8 +72,9 @@
    * Returns the grant of a daemon incarnation unless it has expired.
    *
    * If a data centre is partitioned while it holds grants, the lease holder considers its daemons
-   * dead and eventually grants their part to others, so that the exposure could exceed the budget.
-   * Grants that no plan renews therefore expire well before the holder reassigns them.
+   * dead and eventually grants their part to others. The exposure could then exceed the budget,
+   * visible as a jump when the partition heals. Grants that no plan renews therefore expire well
+   * before the holder reassigns them.
    */
   getGrant(rolloutId: string, incarnation: string): ExposureGrant | undefined {
     const state = this.#states.get(rolloutId);
@@ -110,8 +111,8 @@
   }
 
   /**
-   * Aggregates the pairs of this data centre for the others. Counts of each daemon are lower
-   * bounds, so aggregates computed by different daemons can be merged by taking the maximum.
+   * Aggregates the pairs of this data centre for the others. The aggregate computed by each daemon
+   * is a lower bound, so aggregates of several daemons can be merged by taking the maximum.
    */
   getLocalPairs(rolloutId: string, source: string): PairShare {
     const local = this.listPairs(rolloutId).filter((share) => !isDataCentreSource(share.source));
--- a/packages/rollouts/src/rolloutSystem.test.ts
+++ b/packages/rollouts/src/rolloutSystem.test.ts
@@ -174,7 +174,8 @@
   'a holder that was frozen past the end of its lease cannot advance a stage',
   withCluster(async (cluster) => {
     // Guards against a write by a former lease holder. It checks its lease, sends the write and
-    // freezes; the write arrives after another daemon has taken the lease.
+    // freezes; the write arrives after another daemon has taken the lease. A lease that was valid
+    // when checked may have ended when the write takes effect.
     const holder = await startWithLeaseHolder(cluster);
     let release: (() => void) | undefined;
     cluster.table.beforeTransact(async (transactions) => {
--- a/packages/rollouts/src/sharedEvidenceStore.test.ts
+++ b/packages/rollouts/src/sharedEvidenceStore.test.ts
@@ -207,7 +207,7 @@
   const counts = { ...createEmptyCounts(), answerCount: 7 };
   const share = { source: 'x1', epoch: getEpoch(Date.now()), era: 0, counts };
   cells.merge({ key: getKey(BIG), share });
-  cells.count(getKey(BIG), { type: 'ended', end: 'cut', isSlow: false });
+  cells.recordOutcome(getKey(BIG), { type: 'ended', end: 'cut', isSlow: false });
   for (let epoch = 0; epoch < 4; epoch += 1) {
     clock.tick(EPOCH_MS);
     cells.compact();
--- a/packages/rollouts/src/sharedEvidenceStore.ts
+++ b/packages/rollouts/src/sharedEvidenceStore.ts
@@ -50,6 +50,7 @@
   readonly logger: Logger;
 }
 
+/** Counters exposed as metrics. */
 export interface EvidenceCounters {
   readonly droppedSamples: number;
   readonly outstandingSamples: number;
@@ -146,12 +147,12 @@
     const model = getModelOfVersion(version);
     const isSlow =
       ending.end === 'complete' && this.#slowThresholds.observe(model, task, ending.totalMs);
-    this.cells.count(toEvidenceKey(subject), { type: 'ended', end: ending.end, isSlow });
+    this.cells.recordOutcome(toEvidenceKey(subject), { type: 'ended', end: ending.end, isSlow });
     this.ledger.recordEnding(version, ending.end !== 'complete');
   }
 
   recordScore(subject: EvidenceSubject, score: number): void {
-    this.cells.count(toEvidenceKey(subject), { type: 'rated', score });
+    this.cells.recordOutcome(toEvidenceKey(subject), { type: 'rated', score });
     this.ledger.recordScore(subject.version);
   }
 
@@ -228,7 +229,7 @@
 
   #tick(): void {
     this.#driftMonitor.check();
-    this.ledger.expireUnrated(this.#poller.advancedAtMs);
+    this.ledger.expireUnrated(this.#poller.ratedSeqAdvancedAtMs);
     void this.#health.probeIfDown();
   }
 
--- a/packages/rollouts/src/testing/testCluster.ts
+++ b/packages/rollouts/src/testing/testCluster.ts
@@ -50,8 +50,8 @@
 export const CANDIDATE = 'small@2';
 
 const START_MS = 1_700_000_000_000;
-const GOSSIP_MS = 1_000;
-const STEP_MS = 100;
+const GOSSIP_INTERVAL_MS = 1_000;
+const CLOCK_STEP_MS = 100;
 
 const defaultRollout: RolloutSpec = {
   model: 'small',
@@ -190,12 +190,12 @@
   }
 
   async advance(durationMs: number): Promise<void> {
-    for (let passedMs = 0; passedMs < durationMs; passedMs += STEP_MS) {
-      await this.#clock.tickAsync(STEP_MS);
-      this.#elapsedMs += STEP_MS;
+    for (let passedMs = 0; passedMs < durationMs; passedMs += CLOCK_STEP_MS) {
+      await this.#clock.tickAsync(CLOCK_STEP_MS);
+      this.#elapsedMs += CLOCK_STEP_MS;
       this.#deliverDue();
-      this.#onStep(STEP_MS);
-      if (this.#elapsedMs % GOSSIP_MS === 0) {
+      this.#onStep(CLOCK_STEP_MS);
+      if (this.#elapsedMs % GOSSIP_INTERVAL_MS === 0) {
         this.#gossip();
       }
     }
@@ -203,8 +203,8 @@
 
   /** Advances until the condition holds or the limit is reached; returns whether it holds. */
   async advanceUntil(condition: () => boolean, limitMs: number): Promise<boolean> {
-    for (let passedMs = 0; passedMs < limitMs && !condition(); passedMs += GOSSIP_MS) {
-      await this.advance(GOSSIP_MS);
+    for (let passedMs = 0; passedMs < limitMs && !condition(); passedMs += GOSSIP_INTERVAL_MS) {
+      await this.advance(GOSSIP_INTERVAL_MS);
     }
     return condition();
   }
@@ -336,7 +336,7 @@
    * every other round, two relays per data centre with one member of each remote data centre.
    */
   #gossip(): void {
-    const round = this.#elapsedMs / GOSSIP_MS;
+    const round = this.#elapsedMs / GOSSIP_INTERVAL_MS;
     this.#daemons.forEach((daemon) => {
       const peers = this.#daemons.filter(
         (other) => other !== daemon && this.#canReach(daemon.self, other.self),
