--- a/packages/forwarding/src/crashes/answeredRequests.ts
+++ b/packages/forwarding/src/crashes/answeredRequests.ts
@@ -1,12 +1,12 @@
 /**
- * Requests that upstreams answered in whole a short while ago, the newest last. A question that many callers
- * ask alike is on nearly every upstream that ends, and its answers in between may be seconds apart.
+ * Requests that upstreams answered completely in the recent past, newest last. A question that many
+ * callers ask is running on nearly every upstream that ends, and its answers may be seconds apart.
  */
 import { forgetOldest, type RequestDigest } from '@snipehaven/common';
 import { ANSWERED_FOR_MS, MAX_ANSWERED } from './constants.js';
 
 export class AnsweredRequests {
-  /** By request, when its last whole answer ended. */
+  /** Keyed by request: the end of its last complete answer. */
   readonly #answeredAtMs = new Map<RequestDigest, number>();
 
   note(digest: RequestDigest, nowMs: number): void {
--- a/packages/forwarding/src/crashes/constants.ts
+++ b/packages/forwarding/src/crashes/constants.ts
@@ -1,25 +1,32 @@
-/** Times and limits of requests that are held back. */
+/** Times and limits for requests that are held back because upstreams ended while running them. */
 
-/** Requests held back at a time; beyond it the oldest is let go. With this many something else is wrong. */
+/**
+ * Maximum number of requests held back at a time; beyond it the oldest is released. So many holds
+ * have another cause than single requests.
+ */
 export const MAX_HELD = 256;
 
-/** Ended lives remembered, so that each counts once; two daemons tell of an end within a second. */
+/**
+ * Ended lives to remember, so that each counts once; two daemons report the same end within a
+ * second.
+ */
 export const MAX_ENDED_LIVES = 1_024;
 
 /**
- * An answer speaks for its request this long. A deadly one is never answered; one that becomes deadly, by a
- * new version, is blamed a minute later.
+ * How long a complete answer clears its request of suspicion. A request that crashes its upstreams
+ * is never answered; one that begins to do so with a new version is blamed a minute later.
  */
 export const ANSWERED_FOR_MS = 60_000;
 
-/** Answered requests remembered: a minute of a daemon at 60 requests a second, half a megabyte. */
+/** Answered requests to remember: those of a minute at 60 requests a second, half a megabyte. */
 export const MAX_ANSWERED = 4_096;
 
 /**
- * Daemons that know a held request to be answered object after a wait, drawn up to this, unless another one
- * has: two hundred of them at once would tell each other the same.
+ * Daemons that know a held request to have been answered report this after a random delay up to
+ * this, unless another daemon has done so. Otherwise two hundred of them would send the same report
+ * at once.
  */
 export const MAX_OBJECTION_MS = 400;
 
-/** Requests answered within this are told to be cleared in one datagram. */
+/** Requests answered within this time are reported as cleared in one datagram. */
 export const CLEARED_DELAY_MS = 150;
--- a/packages/forwarding/src/crashes/crashBook.test.ts
+++ b/packages/forwarding/src/crashes/crashBook.test.ts
@@ -1,4 +1,4 @@
-/** What is held back for upstreams that ended, by what daemons tell each other. */
+/** Holding back requests under suspicion, from own observations and reports of other daemons. */
 import FakeTimers, { type Clock } from '@sinonjs/fake-timers';
 import { asId, createRandom, createSilentLogger, type RequestDigest } from '@snipehaven/common';
 import { HOLD_MS } from '@snipehaven/policy';
@@ -12,7 +12,7 @@
 
 interface Context {
   clock: Clock;
-  told: CrashReport[];
+  sentReports: CrashReport[];
   book: CrashBook;
 }
 
@@ -20,9 +20,13 @@
 
 test.before.each((context) => {
   context.clock = FakeTimers.install();
-  context.told = [];
-  const tell = (news: CrashReport) => context.told.push(news);
-  context.book = new CrashBook({ logger: createSilentLogger(), random: createRandom(1), tell });
+  context.sentReports = [];
+  const broadcast = (report: CrashReport) => context.sentReports.push(report);
+  context.book = new CrashBook({
+    logger: createSilentLogger(),
+    random: createRandom(1),
+    broadcast,
+  });
 });
 
 test.after.each(({ clock }) => clock.uninstall());
@@ -32,20 +36,24 @@
 const A = asId<RequestDigest>('a');
 const B = asId<RequestDigest>('b');
 
-const nameAttempt = (): string => {
+const createAttemptId = (): string => {
   attempts += 1;
   return `attempt ${attempts}`;
 };
 
 const send = (digest: RequestDigest, beganAtMs?: number): SentRequest => ({
-  attemptId: nameAttempt(),
+  attemptId: createAttemptId(),
   digest,
   sentAtMs: 0,
   beganAtMs,
   onHeld: () => {},
 });
 
-const endOf = (lifeId: string, lost: readonly SentRequest[], isExpected = false): UpstreamEnd => ({
+const createEnd = (
+  lifeId: string,
+  lost: readonly SentRequest[],
+  isExpected = false,
+): UpstreamEnd => ({
   upstream: { id: lifeId } as Upstream,
   lifeId,
   isExpected,
@@ -60,108 +68,126 @@
   })),
 });
 
-test('counts its own ends and those of others together, and tells its own', ({ book, told }) => {
-  book.noteEnd(endOf('u-1', [send(A), send(B)]));
-  book.takeNews(reportEnds(A, 'u-1', 'u-2'));
+test('counts own observations together with reports of others, and sends only its own', ({
+  book,
+  sentReports,
+}) => {
+  book.noteEnd(createEnd('u-1', [send(A), send(B)]));
+  book.receiveReport(reportEnds(A, 'u-1', 'u-2'));
   assert.is(book.findHold(A), undefined);
-  book.noteEnd(endOf('u-3', [send(A)]));
+  book.noteEnd(createEnd('u-3', [send(A)]));
   assert.equal(book.findHold(A)?.lives, ['u-1', 'u-2', 'u-3']);
   assert.is(book.findHold(B), undefined);
   assert.equal(
-    told.map(({ ends }) => ends.map(({ lifeId, suspects }) => [lifeId, suspects.length])),
+    sentReports.map(({ ends }) => ends.map(({ lifeId, suspects }) => [lifeId, suspects.length])),
     [[['u-1', 2]], [['u-3', 1]]],
   );
 });
 
-test('lets a request go when it is answered, lapses, or its upstreams live', ({ book, clock }) => {
-  book.takeNews(reportEnds(A, 'u-1', 'u-2', 'u-3'));
-  book.takeNews({ ...EMPTY_CRASH_REPORT, cleared: [A] });
+test('releases a request when it is answered, its hold expires, or its upstreams are alive', ({
+  book,
+  clock,
+}) => {
+  book.receiveReport(reportEnds(A, 'u-1', 'u-2', 'u-3'));
+  book.receiveReport({ ...EMPTY_CRASH_REPORT, cleared: [A] });
   assert.is(book.findHold(A), undefined);
-  book.takeNews(reportEnds(A, 'u-1', 'u-2', 'u-3'));
-  assert.is(book.findHold(A), undefined, 'told again after the answer');
-  book.takeNews(reportEnds(A, 'u-4', 'u-5', 'u-6'));
-  book.takeNews({ ...EMPTY_CRASH_REPORT, alive: ['u-5'] });
+  book.receiveReport(reportEnds(A, 'u-1', 'u-2', 'u-3'));
+  assert.is(book.findHold(A), undefined, 'reported again after the answer');
+  book.receiveReport(reportEnds(A, 'u-4', 'u-5', 'u-6'));
+  book.receiveReport({ ...EMPTY_CRASH_REPORT, alive: ['u-5'] });
   assert.is(book.findHold(A), undefined);
-  book.takeNews(reportEnds(A, 'u-7', 'u-8', 'u-9'));
+  book.receiveReport(reportEnds(A, 'u-7', 'u-8', 'u-9'));
   clock.tick(HOLD_MS - 1);
   assert.ok(book.findHold(A));
   clock.tick(1);
   assert.is(book.findHold(A), undefined);
 });
 
-// Symptom: a lookup that is made now and then is refused. Sequence: it is lost four times in some minutes,
-// at four lives of an upstream that flaps, and answered each time after. Cause: only what speaks against a
-// request was counted.
-test('what was answered in between speaks for a request, and is told', ({ book, told, clock }) => {
+// Guards against counting only evidence against a request. An occasional lookup was refused after
+// it had been lost four times in some minutes, at four lives of an unstable upstream, although it
+// was answered each time afterwards.
+test('answers between the ends clear a request and are reported', ({
+  book,
+  sentReports,
+  clock,
+}) => {
   ['u-1', 'u-2', 'u-3', 'u-4'].forEach((life) => {
-    book.noteEnd(endOf(life, [send(A)]));
+    book.noteEnd(createEnd(life, [send(A)]));
     book.noteAnswered(A);
     clock.tick(ANSWERED_FOR_MS);
   });
   assert.is(book.findHold(A), undefined);
-  assert.is(told.filter(({ cleared }) => cleared.includes(A)).length, 4);
+  assert.is(sentReports.filter(({ cleared }) => cleared.includes(A)).length, 4);
   assert.ok(book.isEmpty);
 });
 
-// Symptom: a question that everybody asks is refused for minutes. Sequence: two deadly requests end six
-// upstreams in two seconds, the question on each of them; it was answered a hundred times in the minute
-// before. Cause: nothing spoke for it between the ends.
-test('what was answered shortly before is not blamed, and spoken for where it is held', ({
+// Guards against blaming a popular question for minutes. Two harmful requests end six upstreams in
+// two seconds, with the question running on each of them; it was answered a hundred times in the
+// minute before, but no evidence between the ends cleared it.
+test('a request answered shortly before is not blamed, and is cleared if others hold it back', ({
   book,
-  told,
+  sentReports,
   clock,
 }) => {
   clock.tick(1_000);
   book.noteAnswered(A);
-  ['u-1', 'u-2', 'u-3'].forEach((life) => book.noteEnd(endOf(life, [send(A), send(B)])));
+  ['u-1', 'u-2', 'u-3'].forEach((life) => book.noteEnd(createEnd(life, [send(A), send(B)])));
   assert.is(book.findHold(A), undefined);
   assert.ok(book.findHold(B));
-  book.takeNews(reportEnds(A, 'u-1', 'u-2', 'u-3'));
-  assert.ok(book.findHold(A), 'others hold it back');
+  book.receiveReport(reportEnds(A, 'u-1', 'u-2', 'u-3'));
+  assert.ok(book.findHold(A), 'held back by others');
   clock.tick(1_000);
   assert.is(book.findHold(A), undefined);
-  assert.is(told.filter(({ cleared }) => cleared.includes(A)).length, 1);
+  assert.is(sentReports.filter(({ cleared }) => cleared.includes(A)).length, 1);
   assert.ok(book.findHold(B));
 });
 
-test('an answer speaks for a request for a while', ({ book, clock }) => {
+test('an answer clears a request for a limited time only', ({ book, clock }) => {
   book.noteAnswered(A);
   clock.tick(ANSWERED_FOR_MS);
-  ['u-1', 'u-2', 'u-3'].forEach((life) => book.noteEnd(endOf(life, [send(A)])));
+  ['u-1', 'u-2', 'u-3'].forEach((life) => book.noteEnd(createEnd(life, [send(A)])));
   assert.ok(book.findHold(A));
 });
 
-// Symptom: a request is held back though daemons know better. Sequence: all of them object at once and flood
-// each other. Cause: each speaks without listening.
-test('who hears that a request is cleared does not say it again', ({ book, told, clock }) => {
+// Guards against daemons that all report a cleared request at once and flood each other, without
+// checking whether it was reported already.
+test('a request that another daemon reported as cleared is not reported again', ({
+  book,
+  sentReports,
+  clock,
+}) => {
   book.noteAnswered(A);
-  book.takeNews(reportEnds(A, 'u-1', 'u-2', 'u-3'));
-  book.takeNews({ ...EMPTY_CRASH_REPORT, cleared: [A] });
+  book.receiveReport(reportEnds(A, 'u-1', 'u-2', 'u-3'));
+  book.receiveReport({ ...EMPTY_CRASH_REPORT, cleared: [A] });
   clock.tick(1_000);
-  assert.equal(told, []);
+  assert.equal(sentReports, []);
 });
 
-test('an answer of which nothing is known is not told', ({ book, told, clock }) => {
+test('the answer to a request without suspicion is not reported', ({
+  book,
+  sentReports,
+  clock,
+}) => {
   book.noteAnswered(A);
   clock.tick(1_000);
-  assert.equal(told, []);
+  assert.equal(sentReports, []);
 });
 
-test('requests that ran for long, or whose upstream was leaving, are blamed half', ({
+test('requests that ran for long, or whose upstream was leaving, get half the blame', ({
   book,
   clock,
 }) => {
   clock.tick(5_000);
   ['u-1', 'u-2', 'u-3'].forEach((life) => {
-    book.noteEnd(endOf(life, [send(A, 100), send(B)], life === 'u-3'));
+    book.noteEnd(createEnd(life, [send(A, 100), send(B)], life === 'u-3'));
   });
   assert.is(book.getWeight(A), 1.5);
   assert.is(book.getWeight(B), 2.5);
 });
 
-test('what is held back is bounded: the oldest is let go', ({ book }) => {
+test('the number of requests held back is limited by releasing the oldest', ({ book }) => {
   for (let index = 0; index <= MAX_HELD; index += 1) {
-    book.takeNews(reportEnds(asId<RequestDigest>(`d-${index}`), 'u-1', 'u-2', 'u-3'));
+    book.receiveReport(reportEnds(asId<RequestDigest>(`d-${index}`), 'u-1', 'u-2', 'u-3'));
   }
   assert.is(book.heldCount, MAX_HELD);
   assert.is(book.findHold(asId<RequestDigest>('d-0')), undefined);
--- a/packages/forwarding/src/crashes/crashBook.ts
+++ b/packages/forwarding/src/crashes/crashBook.ts
@@ -1,6 +1,6 @@
 /**
- * What this daemon knows of upstreams that ended and of the requests on them, its own knowledge and the
- * others': which requests are held back, and what is told of it.
+ * Tracks upstreams that ended and the requests running on them, as observed by this daemon or
+ * reported by others. Decides which requests are held back, and reports to the other daemons.
  */
 import { forgetOldest, type Logger, type Random, type RequestDigest } from '@snipehaven/common';
 import {
@@ -19,19 +19,21 @@
 export interface CrashBookOptions {
   readonly logger: Logger;
   readonly random: Random;
-  /** Tells all other daemons. */
-  tell(news: CrashReport): void;
+  /** Sends the report to all other daemons. */
+  broadcast(report: CrashReport): void;
 }
 
-/** Who says so: this daemon saw it, another one told it, or the store has a row of it. */
+/**
+ * The origin of a change: observed by this daemon, reported by another one, or read from the store.
+ */
 export type CrashSource = 'own' | 'peer' | 'store';
 
 export interface CrashListener {
-  /** A life of an upstream ended, as this daemon saw or hears for the first time. */
+  /** Called once per life of an upstream when its end is first observed or reported. */
   onEnded(lifeId: string): void;
-  /** The request is held back from now on. */
+  /** Called when a request is held back from now on. */
   onHeld(hold: Hold, source: CrashSource): void;
-  /** It may be sent again. */
+  /** Called when the request may be sent again. */
   onReleased(digest: RequestDigest, source: CrashSource): void;
 }
 
@@ -50,92 +52,98 @@
 
   readonly #listeners: Partial<CrashListener>[] = [];
 
-  /** Lives that ended, the newest last. */
+  /** Newest last. */
   readonly #endedLives = new Set<string>();
 
   constructor(options: CrashBookOptions) {
     this.#options = options;
   }
 
-  /** Nothing is known of any request: there is no need to work out digests. */
+  /** Whether no request is under suspicion, so that callers need not compute digests. */
   get isEmpty(): boolean {
     return this.#ledger.size === 0 && this.#holds.size === 0;
   }
 
-  /** Requests held back. */
   get heldCount(): number {
     const nowMs = performance.now();
     return [...this.#holds.values()].filter(({ untilMs }) => untilMs > nowMs).length;
   }
 
-  watch(listener: Partial<CrashListener>): void {
+  addListener(listener: Partial<CrashListener>): void {
     this.#listeners.push(listener);
   }
 
-  /** Undefined when the request may be sent. */
+  /** Undefined if the request may be sent. */
   findHold(digest: RequestDigest): Hold | undefined {
     const hold = this.#holds.get(digest);
     if (hold !== undefined && hold.untilMs <= performance.now()) {
-      // Nobody's own word: the daemon that wrote the row removes it, not each that finds it lapsed.
+      // Reported as 'peer', because the daemon that wrote the row removes it, not each one that
+      // finds it expired.
       this.#release(digest, 'lapsed', 'peer');
       return undefined;
     }
     return hold;
   }
 
-  /** How much speaks against the request: 1 for each upstream that ended under it. */
+  /**
+   * The weight of the suspicion against the request: 1 for each upstream that ended while running
+   * it.
+   */
   getWeight(digest: RequestDigest): number {
     return this.#ledger.getWeight(digest);
   }
 
-  /** An upstream ended with requests of this daemon. */
+  /** Records the end of an upstream that was running requests of this daemon. */
   noteEnd(end: UpstreamEnd): void {
     const nowMs = performance.now();
     const suspects = end.lost
       .filter(({ digest }) => !this.#answered.has(digest, nowMs))
-      .map((one) => this.#suspect(one, end, nowMs));
+      .map((one) => this.#toSuspect(one, end, nowMs));
     const report = { lifeId: end.lifeId, suspects };
-    this.#options.tell({ ...EMPTY_CRASH_REPORT, ends: [report] });
-    this.#takeEnd(report, 'own');
+    this.#options.broadcast({ ...EMPTY_CRASH_REPORT, ends: [report] });
+    this.#recordEnd(report, 'own');
   }
 
-  takeNews({ ends, cleared, alive }: CrashReport): void {
-    ends.forEach((report) => this.#takeEnd(report, 'peer'));
+  receiveReport({ ends, cleared, alive }: CrashReport): void {
+    ends.forEach((report) => this.#recordEnd(report, 'peer'));
     cleared.forEach((digest) => this.#clear(digest, 'peer'));
     alive.forEach((lifeId) => this.#withdraw(lifeId, 'peer'));
   }
 
-  /** An upstream ran the request to a good end. */
+  /** Records that an upstream answered the request completely. */
   noteAnswered(digest: RequestDigest): void {
     this.#answered.note(digest, performance.now());
     if (this.#clear(digest, 'own')) {
-      this.#tellLater(digest);
+      this.#scheduleClearedReport(digest);
     }
   }
 
-  /** An upstream that was taken for ended has run a request since. */
+  /** Records that an upstream that was considered ended has run a request since. */
   noteAlive(lifeId: string): void {
-    this.#options.logger.info({ event: 'upstreamNotEnded', life: lifeId }, 'an upstream lives');
+    this.#options.logger.info(
+      { event: 'upstreamNotEnded', life: lifeId },
+      'upstream reported as ended is alive',
+    );
     this.#withdraw(lifeId, 'own');
-    this.#options.tell({ ...EMPTY_CRASH_REPORT, alive: [lifeId] });
+    this.#options.broadcast({ ...EMPTY_CRASH_REPORT, alive: [lifeId] });
   }
 
-  /** The store says that the request is held back. */
-  takeHold(hold: Hold): void {
+  /** Applies a hold that was read from the store. */
+  applyStoredHold(hold: Hold): void {
     if (!this.#holds.has(hold.digest)) {
-      this.#putHold(hold, 'store');
+      this.#addHold(hold, 'store');
     }
   }
 
-  /** The store's row was removed. */
-  takeRelease(digest: RequestDigest): void {
+  /** Applies the removal of a row from the store. */
+  applyStoredRelease(digest: RequestDigest): void {
     this.#ledger.clear(digest);
     if (this.#holds.has(digest)) {
       this.#release(digest, 'removed', 'store');
     }
   }
 
-  #suspect(
+  #toSuspect(
     { digest, attemptId, beganAtMs }: SentRequest,
     { isExpected }: UpstreamEnd,
     nowMs: number,
@@ -145,14 +153,14 @@
     return { digest, attemptId, suspicion };
   }
 
-  #takeEnd(report: EndReport, source: CrashSource): void {
+  #recordEnd(report: EndReport, source: CrashSource): void {
     const nowMs = performance.now();
-    this.#noteLife(report.lifeId);
-    const reached = this.#ledger.note(report, nowMs);
-    reached.forEach((digest) => this.#hold(digest, source, nowMs));
+    this.#recordEndedLife(report.lifeId);
+    const heldDigests = this.#ledger.note(report, nowMs);
+    heldDigests.forEach((digest) => this.#hold(digest, source, nowMs));
   }
 
-  #noteLife(lifeId: string): void {
+  #recordEndedLife(lifeId: string): void {
     if (this.#endedLives.has(lifeId)) {
       return;
     }
@@ -161,7 +169,7 @@
     this.#listeners.forEach((listener) => listener.onEnded?.(lifeId));
   }
 
-  /** Requests that were held back because of its end, too, are let go. */
+  /** Also releases requests that were held back because of that life's end. */
   #withdraw(lifeId: string, source: CrashSource): void {
     this.#ledger.withdraw(lifeId);
     for (const { digest, lives } of this.#holds.values()) {
@@ -174,17 +182,17 @@
   #hold(digest: RequestDigest, source: CrashSource, nowMs: number): void {
     if (this.findHold(digest) === undefined) {
       const lives = this.#ledger.listLives(digest);
-      this.#putHold({ digest, lives, sinceMs: nowMs, untilMs: nowMs + HOLD_MS }, source);
+      this.#addHold({ digest, lives, sinceMs: nowMs, untilMs: nowMs + HOLD_MS }, source);
     }
   }
 
-  #putHold(hold: Hold, source: CrashSource): void {
+  #addHold(hold: Hold, source: CrashSource): void {
     const { digest, lives, untilMs } = hold;
     this.#holds.set(digest, hold);
     const forMs = Math.round(untilMs - performance.now());
     this.#options.logger.warn(
       { event: 'requestHeld', digest, lives, source, forMs },
-      'upstreams ended under a request; it is held back',
+      'request held back: several upstreams ended while running it',
     );
     if (this.#holds.size > MAX_HELD) {
       const [oldest = digest] = this.#holds.keys();
@@ -193,19 +201,22 @@
     this.#listeners.forEach((listener) => listener.onHeld?.(hold, source));
     if (this.#answered.has(digest, performance.now())) {
       const waitMs = this.#options.random.next() * MAX_OBJECTION_MS;
-      setTimeout(() => this.#object(hold), waitMs).unref();
+      setTimeout(() => this.#objectToHold(hold), waitMs).unref();
     }
   }
 
-  /** This daemon saw the request answered, and nobody has said so since it was held back. */
-  #object(hold: Hold): void {
+  /**
+   * Clears a held request that this daemon knows to have been answered, unless it was released
+   * meanwhile.
+   */
+  #objectToHold(hold: Hold): void {
     const { digest } = hold;
     if (this.#holds.get(digest) === hold && this.#clear(digest, 'own')) {
-      this.#tellLater(digest);
+      this.#scheduleClearedReport(digest);
     }
   }
 
-  /** False when nothing was known of the request. */
+  /** Returns false if nothing was known about the request. */
   #clear(digest: RequestDigest, source: CrashSource): boolean {
     const isKnown = this.#ledger.clear(digest);
     const isHeld = this.#holds.has(digest);
@@ -220,21 +231,21 @@
     this.#ledger.clear(digest);
     this.#options.logger.info(
       { event: 'requestReleased', digest, cause, source },
-      'a request is held back no more',
+      'request no longer held back',
     );
     this.#listeners.forEach((listener) => listener.onReleased?.(digest, source));
   }
 
-  #tellLater(digest: RequestDigest): void {
+  #scheduleClearedReport(digest: RequestDigest): void {
     if (this.#cleared.size === 0) {
-      setTimeout(() => this.#tellCleared(), CLEARED_DELAY_MS).unref();
+      setTimeout(() => this.#sendClearedReport(), CLEARED_DELAY_MS).unref();
     }
     this.#cleared.add(digest);
   }
 
-  #tellCleared(): void {
+  #sendClearedReport(): void {
     const cleared = [...this.#cleared];
     this.#cleared.clear();
-    this.#options.tell({ ...EMPTY_CRASH_REPORT, cleared });
+    this.#options.broadcast({ ...EMPTY_CRASH_REPORT, cleared });
   }
 }
--- a/packages/forwarding/src/crashes/holdKeeper.test.ts
+++ b/packages/forwarding/src/crashes/holdPersister.test.ts
@@ -1,4 +1,6 @@
-/** Who writes the row of a request that is held back, and what a row that comes or goes does. */
+/**
+ * Which daemon writes the row of a held request, and the effect of rows that are added or removed.
+ */
 import FakeTimers, { type Clock } from '@sinonjs/fake-timers';
 import { asId, createRandom, createSilentLogger, type RequestDigest } from '@snipehaven/common';
 import { HOLD_MS } from '@snipehaven/policy';
@@ -8,10 +10,10 @@
 import { EMPTY_CRASH_REPORT, type CrashReport } from '../peers/index.js';
 import type { Upstream } from '../types.js';
 import { CrashBook } from './crashBook.js';
-import { HoldKeeper } from './holdKeeper.js';
+import { HoldPersister } from './holdPersister.js';
 import type { HoldRecord } from './types.js';
 
-interface Written {
+interface WrittenHold {
   readonly hold: HoldRecord;
   readonly expectedVersion: number;
 }
@@ -19,14 +21,14 @@
 interface Context {
   clock: Clock;
   book: CrashBook;
-  keeper: HoldKeeper;
-  written: Written[];
+  holdPersister: HoldPersister;
+  written: WrittenHold[];
   removed: RequestDigest[];
   isStoreDown: boolean;
   rank: number | undefined;
 }
 
-const test = suite<Context>('hold keeper', {} as Context);
+const test = suite<Context>('hold persister', {} as Context);
 
 const OFFSET_MS = 50_000;
 const A = asId<RequestDigest>('a');
@@ -35,12 +37,12 @@
   const logger = createSilentLogger();
   const fresh = { written: [], removed: [], isStoreDown: false, rank: undefined };
   Object.assign(context, fresh, { clock: FakeTimers.install() });
-  context.book = new CrashBook({ logger, random: createRandom(1), tell: () => {} });
+  context.book = new CrashBook({ logger, random: createRandom(1), broadcast: () => {} });
   const answer = <Value>(value: Value): Promise<Value> =>
     context.isStoreDown
       ? Promise.reject(new StoreUnavailableError('down'))
       : Promise.resolve(value);
-  context.keeper = new HoldKeeper({
+  context.holdPersister = new HoldPersister({
     book: context.book,
     vm: 'vm-1',
     logger,
@@ -60,8 +62,8 @@
   });
 });
 
-test.after.each(({ clock, keeper }) => {
-  keeper.stop();
+test.after.each(({ clock, holdPersister }) => {
+  holdPersister.stop();
   clock.uninstall();
 });
 
@@ -75,7 +77,7 @@
   })),
 });
 
-const seeEnds = (book: CrashBook): void => {
+const observeEnds = (book: CrashBook): void => {
   LIVES.forEach((lifeId) => {
     const one = { attemptId: `at ${lifeId}`, digest: A, sentAtMs: 0, beganAtMs: undefined };
     const lost = [{ ...one, onHeld: () => {} }];
@@ -91,13 +93,13 @@
   untilStoreMs: OFFSET_MS + untilMs,
 });
 
-test('whoever saw the deciding end writes at once, by the clock of the store', async ({
+test('the daemon that observed the decisive end writes at once, with times of the store’s clock', async ({
   book,
   clock,
   written,
 }) => {
   await clock.tickAsync(1_000);
-  seeEnds(book);
+  observeEnds(book);
   await clock.tickAsync(1);
   assert.is(written.length, 1);
   assert.is(written[0]?.expectedVersion, 0);
@@ -106,29 +108,29 @@
   assert.is(written[0]?.hold.untilStoreMs, OFFSET_MS + 1_000 + HOLD_MS);
 });
 
-// Symptom: the row is missing after all daemons lost power. Sequence: the daemon that saw the third end tells
-// the others and is killed before it writes. Cause: the others left the writing to it.
-test('the others write in their turn unless the row has come', async (context) => {
-  const { book, keeper, clock, written } = context;
+// Guards against leaving the write to the daemon that observed the third end: it may be killed
+// after reporting the end to the others and before it writes, and all daemons may then lose power.
+test('other daemons write in their turn unless the row exists by then', async (context) => {
+  const { book, holdPersister, clock, written } = context;
   context.rank = 2;
-  book.takeNews(reportEnds(LIVES));
+  book.receiveReport(reportEnds(LIVES));
   await clock.tickAsync(2_000);
   assert.is(written.length, 0);
-  keeper.takeRecord(recordUntil(HOLD_MS), 7, OFFSET_MS);
+  holdPersister.applyRecord(recordUntil(HOLD_MS), 7, OFFSET_MS);
   await clock.tickAsync(10_000);
   assert.is(written.length, 0);
   context.rank = 0;
-  book.takeRelease(A);
-  keeper.takeRemoval(A);
-  book.takeNews(reportEnds(['u-4', 'u-5', 'u-6']));
+  book.applyStoredRelease(A);
+  holdPersister.applyRemoval(A);
+  book.receiveReport(reportEnds(['u-4', 'u-5', 'u-6']));
   await clock.tickAsync(1_000);
   assert.is(written.length, 1);
 });
 
-test('a store that is away is asked again until the row is there', async (context) => {
+test('a failed write is retried until the row exists', async (context) => {
   const { book, clock, written } = context;
   context.isStoreDown = true;
-  seeEnds(book);
+  observeEnds(book);
   await clock.tickAsync(20_000);
   const tries = written.length;
   assert.ok(tries >= 3 && tries <= 10, `${tries} tries`);
@@ -137,48 +139,48 @@
   assert.is(written.length, tries + 1);
 });
 
-test('a row that has lapsed is written over, and one that has not is taken', async (context) => {
-  const { book, keeper, clock, written } = context;
-  keeper.takeRecord(recordUntil(-1), 7, OFFSET_MS);
+test('an expired row is overwritten, and one that has not expired is applied', async (context) => {
+  const { book, holdPersister, clock, written } = context;
+  holdPersister.applyRecord(recordUntil(-1), 7, OFFSET_MS);
   assert.is(book.findHold(A), undefined);
-  seeEnds(book);
+  observeEnds(book);
   await clock.tickAsync(1);
   assert.is(written[0]?.expectedVersion, 7);
-  book.takeRelease(A);
-  keeper.takeRecord(recordUntil(5_000), 8, OFFSET_MS);
+  book.applyStoredRelease(A);
+  holdPersister.applyRecord(recordUntil(5_000), 8, OFFSET_MS);
   assert.equal(book.findHold(A)?.lives, LIVES);
   await clock.tickAsync(5_000);
   assert.is(book.findHold(A), undefined);
 });
 
-test('a row that was removed lets the request go, told by a feed or by a whole table', ({
+test('a removed row releases the request, whether seen in a feed or a complete table', ({
   book,
-  keeper,
+  holdPersister,
 }) => {
-  keeper.takeRecord(recordUntil(HOLD_MS), 7, OFFSET_MS);
-  keeper.takeRemoval(A);
+  holdPersister.applyRecord(recordUntil(HOLD_MS), 7, OFFSET_MS);
+  holdPersister.applyRemoval(A);
   assert.is(book.findHold(A), undefined);
-  keeper.takeRecord(recordUntil(HOLD_MS), 9, OFFSET_MS);
-  keeper.keepOnly([A]);
+  holdPersister.applyRecord(recordUntil(HOLD_MS), 9, OFFSET_MS);
+  holdPersister.retainOnly([A]);
   assert.ok(book.findHold(A));
-  keeper.keepOnly([]);
+  holdPersister.retainOnly([]);
   assert.is(book.findHold(A), undefined);
 });
 
-test('the daemon that saw it answered removes the row; the one that wrote it does when it lapses', async (context) => {
-  const { book, keeper, clock, removed } = context;
-  keeper.takeRecord(recordUntil(HOLD_MS), 7, OFFSET_MS);
-  book.takeNews({ ...EMPTY_CRASH_REPORT, cleared: [A] });
+test('the row is removed by the daemon that observed the answer, or by its writer on expiry', async (context) => {
+  const { book, holdPersister, clock, removed } = context;
+  holdPersister.applyRecord(recordUntil(HOLD_MS), 7, OFFSET_MS);
+  book.receiveReport({ ...EMPTY_CRASH_REPORT, cleared: [A] });
   await clock.tickAsync(1);
-  assert.equal(removed, [], 'another daemon saw it');
-  keeper.takeRecord(recordUntil(HOLD_MS), 8, OFFSET_MS);
+  assert.equal(removed, [], 'observed by another daemon');
+  holdPersister.applyRecord(recordUntil(HOLD_MS), 8, OFFSET_MS);
   book.noteAnswered(A);
   await clock.tickAsync(1);
   assert.equal(removed, [A]);
-  keeper.takeRemoval(A);
-  seeEnds(book);
+  holdPersister.applyRemoval(A);
+  observeEnds(book);
   await clock.tickAsync(1);
-  keeper.takeRecord({ ...recordUntil(HOLD_MS), vm: 'vm-1' }, 9, OFFSET_MS);
+  holdPersister.applyRecord({ ...recordUntil(HOLD_MS), vm: 'vm-1' }, 9, OFFSET_MS);
   await clock.tickAsync(HOLD_MS);
   assert.equal(removed, [A, A]);
 });
--- a/packages/forwarding/src/crashes/holdKeeper.ts
+++ b/packages/forwarding/src/crashes/holdPersister.ts
@@ -1,30 +1,30 @@
 /**
- * Keeps in the store which requests are held back, for daemons that start and for those that did not hear of
- * it: a row for each, written once. Whoever saw the end that decided writes at once; the others wait for
- * their turn and write if the row has not come by then, since that daemon may be gone.
+ * Persists holds in the store, for daemons that start and for those that missed a report: one row
+ * per held request, written once. The daemon that observed the decisive end writes at once. The
+ * others wait for their turn and write if there is no row by then, because that daemon may be gone.
  */
 import { getErrorMessage, type Logger, type Random, type RequestDigest } from '@snipehaven/common';
 import type { CrashBook } from './crashBook.js';
 import type { Hold, HoldRecord, HoldWriter } from './types.js';
 
-/** For each daemon that comes before: a row is written and known everywhere within this time. */
-const TURN_MS = 750;
+/** Per preceding daemon: a row is written and known everywhere within this time. */
+const WRITE_TURN_MS = 750;
 
-/** Daemons of a small fleet draw one of so many turns. */
-const DRAWN_TURNS = 4;
+/** In a small fleet, each daemon picks one of this many turns at random. */
+const RANDOM_TURNS = 4;
 
-/** The store was out of reach; it is asked again after this, and as much longer as daemons come before. */
-const AGAIN_MS = 2_000;
+/** Delay before a failed write is retried, plus the delay of this daemon's turn. */
+const RETRY_MS = 2_000;
 
-export interface HoldKeeperOptions {
+export interface HoldPersisterOptions {
   readonly book: CrashBook;
   readonly writer: HoldWriter;
   readonly vm: string;
   readonly logger: Logger;
   readonly random: Random;
-  /** The store's steady clock less ours, in ms; undefined until it was heard. */
+  /** The store's monotonic clock minus ours in ms; undefined until it is known. */
   getStoreOffsetMs(): number | undefined;
-  /** How many daemons come before this one to write; undefined in a small fleet. */
+  /** Number of daemons that precede this one as writer; undefined in a small fleet. */
   getWriterRank(): number | undefined;
 }
 
@@ -33,18 +33,19 @@
   readonly untilMs: number;
 }
 
-export class HoldKeeper {
-  readonly #options: HoldKeeperOptions;
+export class HoldPersister {
+  readonly #options: HoldPersisterOptions;
 
-  /** Rows that the store has. */
+  /** Rows known to be in the store. */
   readonly #rows = new Map<RequestDigest, KnownRow>();
 
   readonly #timers = new Set<NodeJS.Timeout>();
 
-  constructor(options: HoldKeeperOptions) {
+  constructor(options: HoldPersisterOptions) {
     this.#options = options;
-    options.book.watch({
-      onHeld: (hold, source) => this.#schedule(hold, source === 'own' ? 0 : this.#drawTurnMs()),
+    options.book.addListener({
+      onHeld: (hold, source) =>
+        this.#schedule(hold, source === 'own' ? 0 : this.#pickTurnDelayMs()),
       onReleased: (digest, source) => {
         if (source === 'own') {
           this.#remove(digest);
@@ -57,13 +58,13 @@
     this.#timers.forEach(clearTimeout);
   }
 
-  /** A row of the store. */
-  takeRecord(record: HoldRecord, version: number, storeOffsetMs: number): void {
+  /** Applies a row of the store. */
+  applyRecord(record: HoldRecord, version: number, storeOffsetMs: number): void {
     const { digest, lives } = record;
     const untilMs = record.untilStoreMs - storeOffsetMs;
     this.#rows.set(digest, { version, untilMs });
     if (untilMs > performance.now()) {
-      this.#options.book.takeHold({
+      this.#options.book.applyStoredHold({
         digest,
         lives,
         sinceMs: record.sinceStoreMs - storeOffsetMs,
@@ -72,27 +73,29 @@
     }
   }
 
-  /** An operator, or the daemon that saw the request answered, removed the row. */
-  takeRemoval(digest: RequestDigest): void {
+  /** Applies the removal of a row by an operator or by the daemon that observed the answer. */
+  applyRemoval(digest: RequestDigest): void {
     if (this.#rows.delete(digest)) {
-      this.#options.book.takeRelease(digest);
+      this.#options.book.applyStoredRelease(digest);
     }
   }
 
-  /** The store's table was read whole: rows that were known and are not there were removed meanwhile. */
-  keepOnly(digests: readonly RequestDigest[]): void {
+  /**
+   * Applies a complete read of the table: known rows that are missing from it have been removed.
+   */
+  retainOnly(digests: readonly RequestDigest[]): void {
     const present = new Set(digests);
     [...this.#rows.keys()]
       .filter((digest) => !present.has(digest))
-      .forEach((digest) => this.takeRemoval(digest));
+      .forEach((digest) => this.applyRemoval(digest));
   }
 
-  #drawTurnMs(): number {
-    const rank = this.#options.getWriterRank() ?? this.#options.random.nextInt(DRAWN_TURNS);
-    return TURN_MS * (1 + rank);
+  #pickTurnDelayMs(): number {
+    const rank = this.#options.getWriterRank() ?? this.#options.random.nextInt(RANDOM_TURNS);
+    return WRITE_TURN_MS * (1 + rank);
   }
 
-  #later(delayMs: number, act: () => void): void {
+  #runLater(delayMs: number, act: () => void): void {
     const timer = setTimeout(() => {
       this.#timers.delete(timer);
       act();
@@ -101,23 +104,23 @@
   }
 
   #schedule(hold: Hold, delayMs: number): void {
-    this.#later(delayMs, () => {
+    this.#runLater(delayMs, () => {
       void this.#write(hold);
     });
   }
 
-  /** Nothing to do once another daemon has written it, or the request was let go. */
+  /** Does nothing if another daemon has written the row, or if the request was released. */
   async #write(hold: Hold): Promise<void> {
     const { book, writer, vm, logger, getStoreOffsetMs } = this.#options;
     const { digest, lives, sinceMs, untilMs } = hold;
     const offsetMs = getStoreOffsetMs();
     const known = this.#rows.get(digest);
-    const isKept = known !== undefined && known.untilMs > performance.now();
-    if (isKept || book.findHold(digest) !== hold) {
+    const isStored = known !== undefined && known.untilMs > performance.now();
+    if (isStored || book.findHold(digest) !== hold) {
       return;
     }
     if (offsetMs === undefined) {
-      this.#schedule(hold, AGAIN_MS);
+      this.#schedule(hold, RETRY_MS);
       return;
     }
     const record = {
@@ -131,15 +134,15 @@
       const isWritten = await writer.write(record, known?.version ?? 0);
       logger.info({ event: 'holdWritten', digest, isWritten });
       if (isWritten) {
-        this.#later(untilMs - performance.now(), () => this.#remove(digest));
+        this.#runLater(untilMs - performance.now(), () => this.#remove(digest));
       }
     } catch (error) {
       logger.warn({ event: 'holdNotWritten', digest, cause: getErrorMessage(error) });
-      this.#schedule(hold, AGAIN_MS + this.#drawTurnMs());
+      this.#schedule(hold, RETRY_MS + this.#pickTurnDelayMs());
     }
   }
 
-  /** This daemon saw the request answered, or wrote the row and it has lapsed. */
+  /** Called when this daemon observed the answer, or when the hold that it wrote has expired. */
   #remove(digest: RequestDigest): void {
     if (this.#rows.has(digest)) {
       void this.#tryRemove(digest);
@@ -153,7 +156,7 @@
       logger.info({ event: 'holdRemoved', digest });
     } catch (error) {
       logger.warn({ event: 'holdNotRemoved', digest, cause: getErrorMessage(error) });
-      this.#later(AGAIN_MS, () => this.#remove(digest));
+      this.#runLater(RETRY_MS, () => this.#remove(digest));
     }
   }
 }
--- a/packages/forwarding/src/crashes/requestDigest.test.ts
+++ b/packages/forwarding/src/crashes/requestDigest.test.ts
@@ -1,4 +1,4 @@
-/** By what a request is the same one when it comes again. */
+/** Which parts of a request identify it when it is sent again. */
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { digestRequest, type DigestedRequest } from './requestDigest.js';
@@ -13,7 +13,7 @@
   body: Buffer.from('the question'),
 };
 
-test('is the same for what is asked again, and gives nothing of it away', () => {
+test('is the same for a repeated request and does not reveal its content', () => {
   const digest = digestRequest(REQUEST);
   assert.is(
     digest,
--- a/packages/forwarding/src/crashes/requestDigest.ts
+++ b/packages/forwarding/src/crashes/requestDigest.ts
@@ -1,10 +1,13 @@
-/** Names a request by what is asked and by whom, so that it is known when another attempt brings it. */
+/** Identifies a request by its content and team, so that it is recognized in another attempt. */
 import { createHash } from 'node:crypto';
 import { asId, type RequestDigest } from '@snipehaven/common';
 
-/** What makes a request the same one; headers are left out, since they name the attempt. */
+/** What identifies a request. Headers are excluded, because they differ between attempts. */
 export interface DigestedRequest {
-  /** Two teams that ask the same are two requests: none can have another one's refused. */
+  /**
+   * The same request of another team is a different one: no team can get another team's requests
+   * refused.
+   */
   readonly team: string | undefined;
   readonly method: string;
   readonly host: string;
@@ -12,7 +15,10 @@
   readonly body: Buffer;
 }
 
-/** 132 bits: nobody finds a second text for one, and rows and lines give no text away. */
+/**
+ * 132 bits: finding a second request with the same digest is infeasible, and rows and log lines do
+ * not reveal the request.
+ */
 const DIGEST_CHARS = 22;
 
 export const digestRequest = (request: DigestedRequest): RequestDigest => {
--- a/packages/forwarding/src/crashes/types.ts
+++ b/packages/forwarding/src/crashes/types.ts
@@ -1,30 +1,30 @@
-/** Requests that are held back because upstreams ended under them. */
+/** Requests that are held back because upstreams ended while running them. */
 import type { RequestDigest } from '@snipehaven/common';
 
 export interface Hold {
   readonly digest: RequestDigest;
-  /** Lives of upstreams that ended under it. */
+  /** Lives of the upstreams that ended while running it. */
   readonly lives: readonly string[];
-  /** On this daemon's steady clock. */
+  /** On this daemon's monotonic clock. */
   readonly sinceMs: number;
   readonly untilMs: number;
 }
 
-/** A hold as the store keeps it for daemons that start, or did not hear of it. */
+/** A hold as stored for daemons that start or missed the report. */
 export interface HoldRecord {
   readonly digest: RequestDigest;
-  /** Lives of upstreams that ended under it. */
+  /** Lives of the upstreams that ended while running it. */
   readonly lives: readonly string[];
-  /** The daemon that wrote it. */
+  /** The daemon that wrote the row. */
   readonly vm: string;
-  /** On the store's steady clock. */
+  /** On the store's monotonic clock. */
   readonly sinceStoreMs: number;
   readonly untilStoreMs: number;
 }
 
-/** Writes to the store; throws `StoreUnavailableError` when the outcome is unknown. */
+/** Writes holds to the store; throws `StoreUnavailableError` if the outcome is unknown. */
 export interface HoldWriter {
-  /** False when the row had another version; `expectedVersion` 0: there was none. */
+  /** Returns false if the row has another version; `expectedVersion` 0 stands for no row. */
   write(hold: HoldRecord, expectedVersion: number): Promise<boolean>;
   remove(digest: RequestDigest): Promise<void>;
 }
--- a/packages/forwarding/src/daemon/addGauges.ts
+++ b/packages/forwarding/src/daemon/addGauges.ts
@@ -1,10 +1,10 @@
-/** What a daemon's metrics show of its present state. */
+/** Gauges of a daemon's current state. */
 import type { ConfigurationHolder } from '../configuration/configurationHolder.js';
 import type { ForwardMetrics, FrontServer } from '../edge/index.js';
 import type { PeerExchange } from '../peers/index.js';
 import type { UpstreamDirectory } from '../upstreams/index.js';
 
-export interface GaugedParts {
+export interface GaugeSources {
   readonly exchange: PeerExchange;
   readonly directory: UpstreamDirectory;
   readonly front: FrontServer;
@@ -13,16 +13,16 @@
 
 export const addGauges = (
   metrics: ForwardMetrics,
-  { exchange, directory, front, configuration }: GaugedParts,
+  { exchange, directory, front, configuration }: GaugeSources,
 ): void => {
   metrics.addGauge(
     'snipehaven_daemons_known',
-    'Daemons that this one knows, itself among them.',
+    'Number of known daemons, including this one.',
     () => exchange.daemons,
   );
   metrics.addGauge(
     'snipehaven_data_centres_evacuated',
-    'Data centres to whose upstreams nothing is sent.',
+    'Number of evacuated data centres, whose upstreams receive no requests.',
     () => directory.evacuated.length,
   );
   metrics.addGauge('snipehaven_in_flight', 'Requests in flight.', () => front.inFlight);
@@ -33,7 +33,7 @@
   );
   metrics.addGauge(
     'snipehaven_configuration_age_ms',
-    'Time since the configuration was confirmed.',
+    'Time in ms since the configuration was last confirmed.',
     () => configuration.freshness.ageMs,
   );
 };
--- a/packages/forwarding/src/daemon/announcePeer.ts
+++ b/packages/forwarding/src/daemon/announcePeer.ts
@@ -1,27 +1,27 @@
-/** Leaves word in the store where a daemon is that reads it, for those that start and reach no seed. */
+/** Stores the address of a daemon that reads the store, for starting daemons that reach no seed. */
 import { getErrorMessage, sleep, type Logger } from '@snipehaven/common';
 import type { Peer } from '../peers/index.js';
 import type { RowStore } from '../store/index.js';
 import type { PlatformAdapter } from './types.js';
 
 /**
- * Between looks and tries. All daemons of a small fleet read for a moment as they start: only those
- * that go on leave word, as each row wakes all that read the table.
+ * Interval of checks and retries. All daemons of a small fleet read for a moment when they start;
+ * only those that continue announce themselves, because each row wakes all readers of the table.
  */
-const CHECK_MS = 1_500;
+const CHECK_INTERVAL_MS = 1_500;
 
-export interface Announcement {
+export interface AnnouncementOptions {
   readonly adapter: PlatformAdapter;
   readonly store: RowStore;
   readonly self: Peer;
   readonly logger: Logger;
   /** Aborted when the daemon stops. */
   readonly signal: AbortSignal;
-  /** Whether this daemon reads the store now. */
+  /** Whether this daemon is currently a reader of the store. */
   isReading(): boolean;
 }
 
-/** Resolves once the store has taken the row, or the daemon stops. */
+/** Resolves when the row has been written or the daemon stops. */
 export const announcePeer = async ({
   adapter,
   store,
@@ -29,10 +29,10 @@
   logger,
   signal,
   isReading,
-}: Announcement): Promise<void> => {
+}: AnnouncementOptions): Promise<void> => {
   const row = { table: adapter.tables.status, ...adapter.renderPeer(self) };
   while (!signal.aborted) {
-    await sleep(CHECK_MS, signal);
+    await sleep(CHECK_INTERVAL_MS, signal);
     if (!signal.aborted && isReading()) {
       try {
         await store.write(row);
--- a/packages/forwarding/src/daemon/crashWatch.ts
+++ b/packages/forwarding/src/daemon/crashCoordinator.ts
@@ -1,6 +1,9 @@
-/** Joins what upstreams' ends concern: the list of upstreams, other daemons, the store and roll-outs. */
+/**
+ * Connects the handling of ended upstreams with the list of upstreams, other daemons, the store and
+ * roll-outs.
+ */
 import type { Logger, Random } from '@snipehaven/common';
-import { CrashBook, HoldKeeper } from '../crashes/index.js';
+import { CrashBook, HoldPersister } from '../crashes/index.js';
 import type { ForwardMetrics } from '../edge/index.js';
 import type { PeerExchange } from '../peers/index.js';
 import type { RolloutGuide } from '../rollouts/index.js';
@@ -9,37 +12,37 @@
 import { StoreHoldWriter } from './storeHoldWriter.js';
 import type { PlatformAdapter } from './types.js';
 
-export interface CrashWatchOptions {
+export interface CrashCoordinatorOptions {
   readonly adapter: PlatformAdapter;
   readonly logger: Logger;
   readonly random: Random;
   readonly metrics: ForwardMetrics;
   readonly directory: UpstreamDirectory;
   readonly rollouts: RolloutGuide;
-  /** For rows of requests that are held back. */
+  /** Used for the rows of held requests. */
   readonly store: RowStore;
-  /** Made later than this, and there before the first request. */
+  /** The exchange is created after this object and available before the first request. */
   getExchange(): PeerExchange;
-  /** The store's steady clock less ours, in ms; undefined until it was heard. */
+  /** The store's monotonic clock minus ours in ms; undefined until it is known. */
   getStoreOffsetMs(): number | undefined;
 }
 
-export class CrashWatch {
+export class CrashCoordinator {
   readonly book: CrashBook;
 
-  readonly keeper: HoldKeeper;
+  readonly holdPersister: HoldPersister;
 
-  readonly #options: CrashWatchOptions;
+  readonly #options: CrashCoordinatorOptions;
 
-  constructor(options: CrashWatchOptions) {
+  constructor(options: CrashCoordinatorOptions) {
     const { adapter, logger, random, store, metrics, getExchange, getStoreOffsetMs } = options;
     this.#options = options;
     this.book = new CrashBook({
       logger,
       random,
-      tell: (news) => getExchange().broadcastCrashReport(news),
+      broadcast: (report) => getExchange().broadcastCrashReport(report),
     });
-    this.keeper = new HoldKeeper({
+    this.holdPersister = new HoldPersister({
       book: this.book,
       writer: new StoreHoldWriter(adapter, store),
       vm: adapter.settings.vmName,
@@ -51,7 +54,7 @@
     this.#connect();
     metrics.addGauge(
       'snipehaven_requests_held',
-      'Requests that are held back because upstreams ended under them.',
+      'Requests held back because upstreams ended while running them.',
       () => this.book.heldCount,
     );
   }
@@ -65,15 +68,16 @@
       },
       onAlive: (lifeId) => this.book.noteAlive(lifeId),
     });
-    this.book.watch({
+    this.book.addListener({
       onEnded: (lifeId) => this.#judgeEnd(lifeId),
       onHeld: ({ digest }) => directory.holdBack(digest),
     });
   }
 
   /**
-   * A version whose upstreams end by themselves is bad. Each end counts as one failed answer, at one daemon:
-   * thirty requests lost with one upstream would roll a good version back for one deadly request.
+   * A version whose upstreams end unexpectedly is bad. Each end counts as one failed answer, at
+   * only one daemon: if the thirty requests lost with an upstream all counted, a single harmful
+   * request would roll back a good version.
    */
   #judgeEnd(lifeId: string): void {
     const { directory, rollouts, getExchange } = this.#options;
--- a/packages/forwarding/src/daemon/createWatchers.ts
+++ b/packages/forwarding/src/daemon/createWatchers.ts
@@ -1,4 +1,4 @@
-/** The watchers of the store's tables, each with what it tells and how long it waits. */
+/** Creates the watchers of the store's tables with their listeners and waits. */
 import type { Logger, Random } from '@snipehaven/common';
 import type { ConfigurationHolder } from '../configuration/configurationHolder.js';
 import { Freshness } from '../configuration/freshness.js';
@@ -11,23 +11,26 @@
 import type { PlatformAdapter } from './types.js';
 
 /**
- * How long the store may hold a question. Feeds go silent without a reset, and only a late answer shows
- * it: keys must be confirmed well within the revoke deadline, and upstreams that leave be known within
- * the time in which they drain. Shorter waits cost calls.
+ * How long the store may hold a request. Feeds go silent without a reset, which shows only in a
+ * late answer: keys must be confirmed well within the revoke deadline, and leaving upstreams must
+ * be known while they drain. Shorter waits would cost more calls.
  */
 const OPERATOR_WAIT_MS = 2_500;
 const UPSTREAM_WAIT_MS = 2_300;
 
-/** A daemon out of touch holds its share after 3.5 s; without a roll-out only new peers are told. */
+/**
+ * During a roll-out: a daemon without contact stops changing its share after 3.5 s. Without a
+ * roll-out, the table only announces new peers.
+ */
 const ROLLOUT_WAIT_MS = 2_800;
 const STATUS_WAIT_MS = 10_000;
 
-/** A tenth or less of the time in which changes must be in force. */
-const OPERATOR_GATHER_MS = 120;
-const UPSTREAM_GATHER_MS = 300;
-const STATUS_GATHER_MS = 150;
+/** At most about a tenth of the time within which changes must be in force. */
+const OPERATOR_BATCH_DELAY_MS = 120;
+const UPSTREAM_BATCH_DELAY_MS = 300;
+const STATUS_BATCH_DELAY_MS = 150;
 
-export interface WatchedParts {
+export interface WatcherDependencies {
   readonly adapter: PlatformAdapter;
   readonly logger: Logger;
   readonly random: Random;
@@ -43,49 +46,54 @@
 }
 
 /**
- * What all watchers have in common; each has a client of its own, so that a held call delays no
- * other.
+ * Options that all watchers share. Each has its own client, so that a held call does not delay the
+ * others.
  */
-const getCommonOptions = (parts: WatchedParts, table: string) => ({
+const getCommonOptions = (dependencies: WatcherDependencies, table: string) => ({
   table,
-  store: parts.createStore(table),
-  logger: parts.logger,
-  random: parts.random,
-  readerRegistry: parts.readerRegistry,
-  countDaemons: () => parts.exchange.daemons,
-  getReaderRank: (lostReaders?: ReadonlySet<string>) => parts.exchange.getReaderRank(lostReaders),
-  source: parts.exchange,
+  store: dependencies.createStore(table),
+  logger: dependencies.logger,
+  random: dependencies.random,
+  readerRegistry: dependencies.readerRegistry,
+  countDaemons: () => dependencies.exchange.daemons,
+  getReaderRank: (lostReaders?: ReadonlySet<string>) =>
+    dependencies.exchange.getReaderRank(lostReaders),
+  source: dependencies.exchange,
 });
 
-const watchOperator = (parts: WatchedParts): TableWatcher =>
+const watchOperator = (dependencies: WatcherDependencies): TableWatcher =>
   new TableWatcher({
     getWaitMs: () => OPERATOR_WAIT_MS,
-    batchDelayMs: OPERATOR_GATHER_MS,
-    listener: new OperatorListener(parts),
-    freshness: parts.configuration.freshness,
-    ...getCommonOptions(parts, parts.adapter.tables.operator),
+    batchDelayMs: OPERATOR_BATCH_DELAY_MS,
+    listener: new OperatorListener(dependencies),
+    freshness: dependencies.configuration.freshness,
+    ...getCommonOptions(dependencies, dependencies.adapter.tables.operator),
   });
 
-const watchUpstreams = (parts: WatchedParts): TableWatcher =>
+const watchUpstreams = (dependencies: WatcherDependencies): TableWatcher =>
   new TableWatcher({
     getWaitMs: () => UPSTREAM_WAIT_MS,
-    batchDelayMs: UPSTREAM_GATHER_MS,
-    listener: new UpstreamListener(parts.adapter, parts.directory, parts.logger),
-    freshness: new Freshness(parts.storeClock),
-    ...getCommonOptions(parts, parts.adapter.tables.upstreams),
+    batchDelayMs: UPSTREAM_BATCH_DELAY_MS,
+    listener: new UpstreamListener(
+      dependencies.adapter,
+      dependencies.directory,
+      dependencies.logger,
+    ),
+    freshness: new Freshness(dependencies.storeClock),
+    ...getCommonOptions(dependencies, dependencies.adapter.tables.upstreams),
   });
 
-const watchStatus = (parts: WatchedParts): TableWatcher =>
+const watchStatus = (dependencies: WatcherDependencies): TableWatcher =>
   new TableWatcher({
-    getWaitMs: () => (parts.rollouts.isAnyRunning ? ROLLOUT_WAIT_MS : STATUS_WAIT_MS),
-    batchDelayMs: STATUS_GATHER_MS,
-    listener: parts.statusListener,
-    freshness: parts.statusFreshness,
-    ...getCommonOptions(parts, parts.adapter.tables.status),
+    getWaitMs: () => (dependencies.rollouts.isAnyRunning ? ROLLOUT_WAIT_MS : STATUS_WAIT_MS),
+    batchDelayMs: STATUS_BATCH_DELAY_MS,
+    listener: dependencies.statusListener,
+    freshness: dependencies.statusFreshness,
+    ...getCommonOptions(dependencies, dependencies.adapter.tables.status),
   });
 
-export const createWatchers = (parts: WatchedParts): readonly TableWatcher[] => [
-  watchOperator(parts),
-  watchUpstreams(parts),
-  watchStatus(parts),
+export const createWatchers = (dependencies: WatcherDependencies): readonly TableWatcher[] => [
+  watchOperator(dependencies),
+  watchUpstreams(dependencies),
+  watchStatus(dependencies),
 ];
--- a/packages/forwarding/src/daemon/forwardDaemon.ts
+++ b/packages/forwarding/src/daemon/forwardDaemon.ts
@@ -1,4 +1,4 @@
-/** One daemon of the forward path: all alike, nothing kept beyond the process. */
+/** A daemon of the forward path. All daemons are alike and keep no state beyond the process. */
 import { createRandom, getEntropySeed, sleep, type Logger, type Random } from '@snipehaven/common';
 import { ModelDemand, RepeatBudget, WorkPace } from '@snipehaven/policy';
 import { ConfigurationHolder } from '../configuration/configurationHolder.js';
@@ -21,7 +21,7 @@
 import { addGauges } from './addGauges.js';
 import { announcePeer } from './announcePeer.js';
 import { createWatchers } from './createWatchers.js';
-import { CrashWatch } from './crashWatch.js';
+import { CrashCoordinator } from './crashCoordinator.js';
 import { MeteredStore } from './meteredStore.js';
 import { PerService } from './perService.js';
 import { StoreRolloutWriter } from './storeRolloutWriter.js';
@@ -29,20 +29,21 @@
 import type { ForwardSettings, PlatformAdapter } from './types.js';
 
 /**
- * Taken off the revoke deadline: clocks drift, and a request is some ms under way before it is read.
+ * Subtracted from the revoke deadline: clocks drift, and a request is in transit for some ms before
+ * it is read.
  */
 const REVOKE_MARGIN_MS = 200;
 
-/** The balancer asks once a second and takes a VM out after two misses. */
+/** The balancer probes once a second and removes a VM after two failed probes. */
 const BALANCER_NOTICE_MS = 2_200;
 
 /**
- * A balancer with no better choice sends on to a VM that leaves. What comes later than this has too
- * little of the grace period left for a long stream.
+ * A balancer without a better choice still sends requests to a leaving VM. Requests that arrive
+ * later than this have too little of the grace period left for a long stream.
  */
-const LAST_CALL_MS = 600;
+const LATE_REQUEST_MS = 600;
 
-/** Left of the grace period for ending what still runs. */
+/** Left of the grace period for ending the requests that still run. */
 const GRACE_MARGIN_MS = 500;
 const DRAIN_CHECK_MS = 100;
 
@@ -62,7 +63,7 @@
 
   readonly #rollouts: RolloutGuide;
 
-  readonly #crashes: CrashWatch;
+  readonly #crashes: CrashCoordinator;
 
   readonly #storeClock = new StoreClock();
 
@@ -90,7 +91,7 @@
 
   readonly #front: FrontServer;
 
-  readonly #readiness = new StatusServer(() => this.#answerReadiness());
+  readonly #readiness = new StatusServer(() => this.#renderReadiness());
 
   readonly #metricsServer = new StatusServer(async () => ({
     status: 200,
@@ -106,12 +107,12 @@
 
   #settings: ForwardSettings;
 
-  /** The end of leaving, once it has begun. */
+  /** Resolves when the daemon has left; undefined until it begins to leave. */
   #leaving: Promise<void> | undefined;
 
   readonly #listener: CallerListener | undefined;
 
-  /** `listener`: the process listens for callers already. */
+  /** `listener`: already listens for callers in this process. */
   constructor(adapter: PlatformAdapter, logger: Logger, listener?: CallerListener) {
     this.#listener = listener;
     this.#adapter = adapter;
@@ -139,11 +140,11 @@
       hasEvacuatedUpstreams: (service, version) =>
         this.#directory.hasEvacuatedUpstreams(service, version),
     });
-    this.#crashes = this.#createCrashWatch();
+    this.#crashes = this.#createCrashCoordinator();
     this.#statusListener = new StatusListener({
       adapter,
       rollouts: this.#rollouts,
-      holds: this.#crashes.keeper,
+      holds: this.#crashes.holdPersister,
       logger,
       clock: this.#storeClock,
       onPeer: (peer) => this.#exchange.addPeer(peer),
@@ -197,7 +198,10 @@
     this.#logger.info({ event: 'started', settings: this.#settings }, 'started');
   }
 
-  /** Reads the settings again; a wrong file changes nothing. Nothing in flight is touched. */
+  /**
+   * Reads the settings again. If the file is invalid, the present settings stay in force. Requests
+   * in flight are not affected.
+   */
   reload(cause: string): void {
     try {
       const settings = this.#adapter.rereadSettings();
@@ -208,27 +212,28 @@
     } catch (error) {
       this.#logger.error(
         { event: 'reloadFailed', cause, error },
-        'settings are wrong; the old ones stay',
+        'invalid settings; keeping the present ones',
       );
     }
   }
 
   /**
-   * Leaves without losing a request: not ready at once, but serving while the balancer still sends;
-   * then connections close with their answers; ends when nothing runs, or before it would be killed. A
-   * second signal waits for the same end: taken for done, it cut off all that ran.
+   * Leaves without losing requests. The daemon becomes not ready at once but serves requests while
+   * the balancer still sends them; then connections are closed with their answers. Resolves when no
+   * request is running, or shortly before the process would be killed. A second signal waits for
+   * the same end; when it was taken as completed, it cut off all running requests.
    */
   leave(): Promise<void> {
-    this.#leaving ??= this.#leaveOnce();
+    this.#leaving ??= this.#drain();
     return this.#leaving;
   }
 
-  async #leaveOnce(): Promise<void> {
+  async #drain(): Promise<void> {
     const endAtMs = performance.now() + this.#settings.graceMs - GRACE_MARGIN_MS;
     this.#logger.info({ event: 'leaving', inFlight: this.#front.inFlight }, 'leaving');
     await sleep(BALANCER_NOTICE_MS);
     this.#front.leave();
-    setTimeout(() => this.#front.stopTaking(), LAST_CALL_MS).unref();
+    setTimeout(() => this.#front.stopTaking(), LATE_REQUEST_MS).unref();
     do {
       this.#front.closeIdle();
       await sleep(DRAIN_CHECK_MS);
@@ -238,11 +243,11 @@
     this.#logger.info({ event: 'stopped', inFlight: this.#front.inFlight }, 'stopped');
   }
 
-  /** Ends at once, without a thought for what runs. */
+  /** Stops at once and aborts running requests. */
   stop(): void {
     this.#stopping.abort();
     this.#watchers.forEach((watcher) => watcher.stop());
-    this.#crashes.keeper.stop();
+    this.#crashes.holdPersister.stop();
     this.#stores.forEach((store) => store.close());
     this.#front.destroy();
     this.#readiness.close();
@@ -250,7 +255,7 @@
     this.#exchange.stop();
   }
 
-  /** Requests that callers wait for. */
+  /** Number of requests that callers wait for. */
   get inFlight(): number {
     return this.#front.inFlight;
   }
@@ -262,7 +267,7 @@
     return store;
   }
 
-  #answerReadiness() {
+  #renderReadiness() {
     const isReady = this.#leaving === undefined && this.#front.isInformed;
     return {
       status: isReady ? 200 : 503,
@@ -308,8 +313,8 @@
       processId: getEntropySeed(),
       readOwnLoads: () => this.#readOwnLoads(),
       readOwnStatistics: () => this.#readOwnStatistics(),
-      onCrashReport: (news) => this.#crashes.book.takeNews(news),
-      onBadVersion: (news) => this.#rollouts.takeBadVersion(news),
+      onCrashReport: (report) => this.#crashes.book.receiveReport(report),
+      onBadVersion: (report) => this.#rollouts.takeBadVersion(report),
       meter: this.#metrics,
     });
   }
@@ -332,8 +337,8 @@
     return { paces, demands, rollouts: this.#rollouts.ownCounts };
   }
 
-  #createCrashWatch(): CrashWatch {
-    return new CrashWatch({
+  #createCrashCoordinator(): CrashCoordinator {
+    return new CrashCoordinator({
       adapter: this.#adapter,
       logger: this.#logger,
       random: this.#random,
@@ -355,7 +360,7 @@
       logger: this.#logger,
       random: this.#random,
       getWriterRank: () => this.#exchange.writerRank,
-      tellBadVersion: (news) => this.#exchange.sendBadVersion(news),
+      tellBadVersion: (report) => this.#exchange.sendBadVersion(report),
     });
   }
 }
--- a/packages/forwarding/src/daemon/meteredStore.ts
+++ b/packages/forwarding/src/daemon/meteredStore.ts
@@ -1,4 +1,4 @@
-/** Counts calls to the store: they are paid for, and must not grow with the daemons. */
+/** Counts the calls to the store: they are billed and must not grow with the number of daemons. */
 import type { Logger } from '@snipehaven/common';
 import type {
   ConditionalWrite,
@@ -10,9 +10,9 @@
 } from '../store/index.js';
 
 /**
- * `first`: a table read whole. `feedChanged`, `feedIdle`: a held question that told of changes or of
- * none. `catchUp`: a question that is not held, for what others did not pass on. `write`: a row of
- * ours.
+ * `first`: read of a complete table. `feedChanged`, `feedIdle`: held request that returned changes
+ * or none. `catchUp`: request that is not held, for changes that were not relayed. `write`: write
+ * or removal of a row.
  */
 export type CallOutcome =
   'first' | 'feedChanged' | 'feedIdle' | 'catchUp' | 'write' | 'writeRefused' | 'failed';
@@ -28,7 +28,7 @@
 
   readonly #logger: Logger;
 
-  /** What this client is for: a table that it follows, or rows that it writes. */
+  /** The table that this client follows, or the rows that it writes. */
   readonly #purpose: string;
 
   constructor(store: RowStore, meter: StoreMeter, logger: Logger, purpose: string) {
@@ -46,13 +46,13 @@
   }
 
   readChanges(table: string, after: number, waitMs: number): Promise<StorePage<StoreChange>> {
-    const findOutcome = ({ items }: StorePage<StoreChange>): CallOutcome => {
+    const getOutcome = ({ items }: StorePage<StoreChange>): CallOutcome => {
       if (waitMs === 0) {
         return 'catchUp';
       }
       return items.length > 0 ? 'feedChanged' : 'feedIdle';
     };
-    return this.#call(() => this.#store.readChanges(table, after, waitMs), findOutcome);
+    return this.#call(() => this.#store.readChanges(table, after, waitMs), getOutcome);
   }
 
   write(write: ConditionalWrite): Promise<WriteResult> {
@@ -75,19 +75,19 @@
 
   async #call<Answer>(
     call: () => Promise<Answer>,
-    findOutcome: (answer: Answer) => CallOutcome,
+    getOutcome: (answer: Answer) => CallOutcome,
   ): Promise<Answer> {
     try {
       const answer = await call();
-      this.#note(findOutcome(answer));
+      this.#count(getOutcome(answer));
       return answer;
     } catch (error) {
-      this.#note('failed');
+      this.#count('failed');
       throw error;
     }
   }
 
-  #note(outcome: CallOutcome): void {
+  #count(outcome: CallOutcome): void {
     this.#meter.countStoreCall(this.#purpose, outcome);
     this.#logger.debug({ event: 'storeCalled', purpose: this.#purpose, outcome });
   }
--- a/packages/forwarding/src/daemon/perService.ts
+++ b/packages/forwarding/src/daemon/perService.ts
@@ -1,25 +1,25 @@
-/** One thing for each service, made when it is first asked for. */
-export class PerService<Thing> {
-  readonly #create: (service: string) => Thing;
+/** One value per service, created on first use. */
+export class PerService<Value> {
+  readonly #create: (service: string) => Value;
 
-  readonly #things = new Map<string, Thing>();
+  readonly #values = new Map<string, Value>();
 
-  constructor(create: (service: string) => Thing) {
+  constructor(create: (service: string) => Value) {
     this.#create = create;
   }
 
-  get(service: string): Thing {
-    const known = this.#things.get(service);
+  get(service: string): Value {
+    const known = this.#values.get(service);
     if (known !== undefined) {
       return known;
     }
     const created = this.#create(service);
-    this.#things.set(service, created);
+    this.#values.set(service, created);
     return created;
   }
 
-  /** Those that were asked for. */
-  get entries(): readonly (readonly [service: string, thing: Thing])[] {
-    return [...this.#things];
+  /** Services that were used, with their values. */
+  get entries(): readonly (readonly [service: string, value: Value])[] {
+    return [...this.#values];
   }
 }
--- a/packages/forwarding/src/daemon/runForwardDaemon.ts
+++ b/packages/forwarding/src/daemon/runForwardDaemon.ts
@@ -1,13 +1,13 @@
-/** Runs the forward daemon as a process, under the signals that the platform sends. */
+/** Runs the forward daemon as a process and handles the platform's signals. */
 import type { Logger } from '@snipehaven/common';
 import type { CallerListener } from '../edge/index.js';
 import { ForwardDaemon } from './forwardDaemon.js';
 import type { PlatformAdapter } from './types.js';
 
-/** For writing the last lines; less than what is left of the grace period. */
-const LAST_LINES_MS = 250;
+/** Time-out for flushing the log; less than what is left of the grace period. */
+const LOG_FLUSH_TIMEOUT_MS = 250;
 
-/** `listener`: the process listens for callers already. */
+/** `listener`: already listens for callers in this process. */
 export const runForwardDaemon = async (
   adapter: PlatformAdapter,
   logger: Logger,
@@ -20,8 +20,9 @@
       .leave()
       .catch((error: unknown) => logger.error({ event: 'leaveFailed', error }))
       .finally(() => {
-        // A reader that stopped reading would keep the last lines, and the process, for ever.
-        setTimeout(() => process.exit(0), LAST_LINES_MS);
+        // If the reader of the log has stopped reading, flushing and thus the process would never
+        // end.
+        setTimeout(() => process.exit(0), LOG_FLUSH_TIMEOUT_MS);
         logger.flush(() => process.exit(0));
       });
   });
--- a/packages/forwarding/src/daemon/statusDocument.ts
+++ b/packages/forwarding/src/daemon/statusDocument.ts
@@ -1,4 +1,4 @@
-/** The rows that daemons write for each other and for the operator. */
+/** Rows that daemons write for each other and for the operator. */
 import type { HoldRecord } from '../crashes/index.js';
 import type { Peer } from '../peers/index.js';
 import type { RolloutEvidence, RolloutStatus } from '../rollouts/index.js';
--- a/packages/forwarding/src/daemon/storeHoldWriter.ts
+++ b/packages/forwarding/src/daemon/storeHoldWriter.ts
@@ -1,4 +1,4 @@
-/** Writes rows of requests that are held back to the platform's store. */
+/** Writes the rows of held requests to the platform's store. */
 import type { RequestDigest } from '@snipehaven/common';
 import type { HoldRecord, HoldWriter } from '../crashes/index.js';
 import type { RowStore } from '../store/index.js';
--- a/packages/forwarding/src/daemon/storeRolloutWriter.ts
+++ b/packages/forwarding/src/daemon/storeRolloutWriter.ts
@@ -1,4 +1,4 @@
-/** Writes rows of roll-outs to the platform's store. */
+/** Writes the rows of roll-outs to the platform's store. */
 import type { RolloutEvidence, RolloutStatus, RolloutWriter } from '../rollouts/index.js';
 import type { RowStore } from '../store/index.js';
 import type { PlatformAdapter } from './types.js';
--- a/packages/forwarding/src/daemon/tableListeners.ts
+++ b/packages/forwarding/src/daemon/tableListeners.ts
@@ -1,11 +1,11 @@
 /**
- * Takes rows of the store into the daemon's state. A row that does not decode is logged once and
+ * Applies rows of the store to the daemon's state. A row that cannot be decoded is logged once and
  * skipped.
  */
 import type { Logger } from '@snipehaven/common';
 import type { ConfigurationHolder } from '../configuration/configurationHolder.js';
 import type { StoreClock } from '../configuration/storeClock.js';
-import type { HoldKeeper } from '../crashes/index.js';
+import type { HoldPersister } from '../crashes/index.js';
 import type { Peer } from '../peers/index.js';
 import type { RolloutGuide } from '../rollouts/rolloutGuide.js';
 import type { StoreChange, StoreRow, TableListener } from '../store/index.js';
@@ -23,7 +23,7 @@
   readonly logger: Logger;
 }
 
-/** Configuration, roll-out orders and evacuations. */
+/** Applies configuration, roll-out orders and evacuations. */
 export class OperatorListener implements TableListener {
   readonly #adapter: PlatformAdapter;
 
@@ -35,8 +35,8 @@
 
   readonly #decoder: RowDecoder;
 
-  /** Whether the table was known here before. */
-  #hasRead = false;
+  /** Whether the table was known before. */
+  #wasKnown = false;
 
   constructor(options: OperatorListenerOptions) {
     this.#adapter = options.adapter;
@@ -47,12 +47,13 @@
   }
 
   onSnapshot(rows: readonly StoreRow[]): void {
-    // An order that is new since this table was last confirmed is no older than that. Counted from its
-    // reading, a roll-out ended after its time where the store's history was gone just then.
+    // An order that is new since this table was last confirmed cannot be older than that
+    // confirmation. When its age was counted from the read, a roll-out ended after its time if the
+    // store dropped its history just then.
     const { ageMs } = this.#configuration.freshness;
-    const givenWithinMs = this.#hasRead && Number.isFinite(ageMs) ? ageMs : undefined;
-    this.#hasRead = true;
-    rows.forEach((row) => this.#take(row, givenWithinMs));
+    const givenWithinMs = this.#wasKnown && Number.isFinite(ageMs) ? ageMs : undefined;
+    this.#wasKnown = true;
+    rows.forEach((row) => this.#apply(row, givenWithinMs));
     this.#directory.keepEvacuated(
       rows.flatMap(({ key }) => this.#adapter.getEvacuatedDataCentre(key) ?? []),
     );
@@ -60,7 +61,7 @@
 
   onChange({ key, value, version }: StoreChange): void {
     if (value !== undefined) {
-      this.#take({ key, value, version }, 0);
+      this.#apply({ key, value, version }, 0);
       return;
     }
     const service = this.#adapter.getRolloutService(key);
@@ -73,8 +74,11 @@
     }
   }
 
-  /** `givenWithinMs`: it was written at most this long ago; 0 as a feed tells, undefined if nobody knows. */
-  #take(row: StoreRow, givenWithinMs: number | undefined): void {
+  /**
+   * `givenWithinMs`: upper bound of the time since the row was written; 0 for a change from a feed,
+   * undefined if unknown.
+   */
+  #apply(row: StoreRow, givenWithinMs: number | undefined): void {
     const document = this.#decoder.decode(row, (one) => this.#adapter.restoreOperatorRow(one));
     if (document?.kind === 'configuration') {
       this.#configuration.apply(document.configuration);
@@ -88,7 +92,7 @@
   }
 }
 
-/** The list of upstreams. */
+/** Applies the list of upstreams. */
 export class UpstreamListener implements TableListener {
   readonly #adapter: PlatformAdapter;
 
@@ -130,7 +134,8 @@
   }
 
   /**
-   * An entry that can't be read may be another writer's: the upstream that it named is not used again.
+   * A row that cannot be decoded may come from another writer; the upstream that it named is not
+   * used any more.
    */
   #restore(row: Row): Upstream | undefined {
     const upstream = this.#decoder.decode(row, (one) => this.#adapter.restoreUpstream(one));
@@ -144,13 +149,13 @@
 export interface StatusListenerOptions {
   readonly adapter: PlatformAdapter;
   readonly rollouts: RolloutGuide;
-  readonly holds: HoldKeeper;
+  readonly holds: HoldPersister;
   readonly logger: Logger;
   readonly clock: StoreClock;
   onPeer(peer: Peer): void;
 }
 
-/** What daemons write: roll-outs, requests held back, and where they are. */
+/** Applies what daemons write: roll-outs, held requests, and the addresses of peers. */
 export class StatusListener implements TableListener {
   readonly #adapter: PlatformAdapter;
 
@@ -160,10 +165,10 @@
 
   readonly #clock: StoreClock;
 
-  /** Until the clock knows better: by the first answer. */
+  /** Used until the clock is synchronized: estimated from the first answer. */
   #firstOffsetMs: number | undefined;
 
-  readonly #holds: HoldKeeper;
+  readonly #holds: HoldPersister;
 
   readonly #onPeer: (peer: Peer) => void;
 
@@ -176,32 +181,32 @@
     this.#onPeer = options.onPeer;
   }
 
-  /** The store's steady clock less ours. */
+  /** The store's monotonic clock minus ours. */
   get storeOffsetMs(): number | undefined {
     return this.#clock.lastOffsetMs ?? this.#firstOffsetMs;
   }
 
   onSnapshot(rows: readonly StoreRow[], serverTimeMs: number): void {
     this.#firstOffsetMs = serverTimeMs - performance.now();
-    // States first: evidence of a roll-out that is over must not be judged anew, as by a daemon that
-    // starts.
+    // States first: evidence of a finished roll-out must not be judged again, for example by a
+    // starting daemon.
     const documents = rows.map((row) => ({ row, document: this.#decode(row) }));
     const isState = ({ document }: (typeof documents)[number]) => document?.kind === 'rollout';
     const ordered = [...documents.filter(isState), ...documents.filter((one) => !isState(one))];
-    ordered.forEach(({ row, document }) => this.#take(row, document));
+    ordered.forEach(({ row, document }) => this.#apply(row, document));
     this.#rollouts.noteStatusesRead();
-    this.#holds.keepOnly(rows.flatMap(({ key }) => this.#adapter.getHeldDigest(key) ?? []));
+    this.#holds.retainOnly(rows.flatMap(({ key }) => this.#adapter.getHeldDigest(key) ?? []));
   }
 
   onChange({ key, value, version }: StoreChange): void {
     if (value !== undefined) {
       const row = { key, value, version };
-      this.#take(row, this.#decode(row));
+      this.#apply(row, this.#decode(row));
       return;
     }
     const digest = this.#adapter.getHeldDigest(key);
     if (digest !== undefined) {
-      this.#holds.takeRemoval(digest);
+      this.#holds.applyRemoval(digest);
     }
   }
 
@@ -209,7 +214,7 @@
     return this.#decoder.decode(row, (one) => this.#adapter.restoreStatusRow(one));
   }
 
-  #take(row: StoreRow, document: StatusDocument | undefined): void {
+  #apply(row: StoreRow, document: StatusDocument | undefined): void {
     if (document?.kind === 'rollout') {
       this.#rollouts.takeStatus(document.status, row.version);
     }
@@ -217,7 +222,7 @@
       this.#rollouts.takeEvidence(document.evidence);
     }
     if (document?.kind === 'hold') {
-      this.#holds.takeRecord(document.hold, row.version, this.storeOffsetMs ?? 0);
+      this.#holds.applyRecord(document.hold, row.version, this.storeOffsetMs ?? 0);
     }
     if (document?.kind === 'peer') {
       this.#onPeer(document.peer);
--- a/packages/forwarding/src/daemon/types.ts
+++ b/packages/forwarding/src/daemon/types.ts
@@ -1,4 +1,7 @@
-/** What a platform's adapter gives the forward daemon: settings, rows decoded, the store. */
+/**
+ * The interface of a platform's adapter to the forward daemon: settings, decoded rows and the
+ * store.
+ */
 import type { RequestDigest } from '@snipehaven/common';
 import type { RepeatBudgetSettings } from '@snipehaven/policy';
 import type { StatusDocument } from './statusDocument.js';
@@ -20,17 +23,19 @@
   readonly callerAddress: SocketAddress;
   readonly readinessAddress: SocketAddress;
   readonly metricsAddress: SocketAddress;
-  /** Where this daemon hears from the others. */
+  /** Address on which this daemon receives messages of other daemons. */
   readonly peerAddress: SocketAddress;
-  /** Where a few other daemons hear, to be asked at the start; they may be gone. */
+  /** Addresses of a few other daemons to ask at the start; these daemons may no longer exist. */
   readonly seedAddresses: readonly SocketAddress[];
-  /** Requests of one session follow each other within this. */
+  /** Maximum time between two requests of a session. */
   readonly sessionTtlMs: number;
-  /** From SIGTERM until the process is killed. */
+  /** Time from SIGTERM until the process is killed. */
   readonly graceMs: number;
-  /** A revoked key must not be let in later than this after its removal. */
+  /** Maximum time for which a revoked key may still be accepted after its removal. */
   readonly revokeDeadlineMs: number;
-  /** Of all requests during a roll-out, the share that a version may get which turns out bad. */
+  /**
+   * Maximum share of all requests during a roll-out that may reach a version that turns out bad.
+   */
   readonly allowedExposure: number;
   readonly repeatBudget: RepeatBudgetSettings;
 }
@@ -41,10 +46,10 @@
   | { readonly kind: 'evacuation'; readonly dataCentre: string };
 
 export interface TableNames {
-  /** What the operator writes: configuration and orders. */
+  /** Written by the operator: configuration and orders. */
   readonly operator: string;
   readonly upstreams: string;
-  /** What the operator reads. */
+  /** Read by the operator. */
   readonly status: string;
 }
 
@@ -55,13 +60,13 @@
   readonly settings: ForwardSettings;
   readonly dialect: HeaderDialect;
   readonly tables: TableNames;
-  /** One client a feed, so that a held call never delays another. */
+  /** Creates one client per feed, so that a held call never delays another. */
   createStore(): RowStore;
-  /** Undefined for rows that are of no concern here. */
+  /** Undefined for rows that are not relevant. */
   restoreOperatorRow(row: Pick<StoreRow, 'key' | 'value'>): OperatorDocument | undefined;
-  /** The service whose roll-out order stands in a row of this key. */
+  /** The service to whose roll-out order the key belongs. */
   getRolloutService(key: string): string | undefined;
-  /** The data centre whose evacuation stands in a row of this key. */
+  /** The data centre to whose evacuation the key belongs. */
   getEvacuatedDataCentre(key: string): string | undefined;
   restoreUpstream(row: Pick<StoreRow, 'key' | 'value'>): Upstream;
   renderRolloutStatus(status: RolloutStatus): RenderedRow;
@@ -69,10 +74,10 @@
   renderPeer(peer: Peer): RenderedRow;
   renderHold(hold: HoldRecord): RenderedRow;
   getHoldKey(digest: RequestDigest): string;
-  /** The request that a row of this key holds back. */
+  /** The digest of the held request to which the key belongs. */
   getHeldDigest(key: string): RequestDigest | undefined;
-  /** Undefined for rows that are of no concern here. */
+  /** Undefined for rows that are not relevant. */
   restoreStatusRow(row: Pick<StoreRow, 'key' | 'value'>): StatusDocument | undefined;
-  /** Reads the settings again; throws when they are wrong. */
+  /** Reads the settings again; throws if they are invalid. */
   rereadSettings(): ForwardSettings;
 }
--- a/packages/forwarding/src/index.ts
+++ b/packages/forwarding/src/index.ts
@@ -1,4 +1,4 @@
-/** Forwards requests by host and path to upstreams, byte for byte. */
+/** Forwards requests to upstreams by host and path, byte for byte. */
 export { ConfigurationHolder } from './configuration/configurationHolder.js';
 export { Freshness } from './configuration/freshness.js';
 export { StoreClock, readClocks } from './configuration/storeClock.js';
--- a/packages/forwarding/src/types.ts
+++ b/packages/forwarding/src/types.ts
@@ -1,12 +1,16 @@
-/** What the forwarder serves: routes, service pools, teams, upstreams, and the options of a request. */
+/**
+ * The forwarder's domain types: routes, service pools, teams, upstreams, and the options of a
+ * request.
+ */
 
 /**
- * What may be repeated: `idempotent` requests may run again; `nonIdempotent` ones at most once per
- * caller attempt; a `stream` is a series of numbered events, repeatable only when resumable.
+ * Which requests may be repeated: `idempotent` ones may run again; `nonIdempotent` ones run at most
+ * once per caller attempt; a `stream` is a series of numbered events, repeatable only when
+ * resumable.
  */
 export type RouteKind = 'idempotent' | 'nonIdempotent' | 'stream';
 
-/** A share of a route's requests that goes to one service. */
+/** The share of a route's requests that goes to one service. */
 export interface RouteTarget {
   readonly service: string;
   readonly weight: number;
@@ -20,7 +24,7 @@
   readonly kind: RouteKind;
   /** The longest time that a caller is kept waiting. */
   readonly timeoutMs: number;
-  /** Within this an answer is on time; for streams, its first event. */
+  /** Answers within this time are on time; for streams, the first event. */
   readonly targetLatencyMs: number;
   /** The longest pause between events for which a stream is still on time. */
   readonly targetGapMs: number;
@@ -28,10 +32,10 @@
   readonly priority: number;
   readonly isPublic: boolean;
   readonly isResumable: boolean;
-  /** Upstreams that one caller attempt may be sent to. */
+  /** Maximum number of upstreams that one caller attempt may be sent to. */
   readonly maxAttempts: number;
   readonly targets: readonly RouteTarget[];
-  /** Models to choose from, smallest first; empty where the caller names the model. */
+  /** Models to choose from, smallest first; empty if the caller names the model. */
   readonly models: readonly string[];
 }
 
@@ -41,22 +45,25 @@
   readonly costPer1000Tokens: number;
 }
 
-/** What is declared of a pool whose upstreams run language models. */
+/** Declared properties of a pool whose upstreams run language models. */
 export interface EngineFacts {
   readonly models: readonly EngineModel[];
 }
 
-/** What is declared of upstreams that have just started, or turned cold again. */
+/** Declared properties of upstreams that have just started or become cold again. */
 export interface WarmUpFacts {
   /** How long an upstream stays cold after its start. */
   readonly durationMs: number;
-  /** Requests that a cold one takes in a second, from all daemons; well above it, it ends. */
+  /**
+   * Requests a second that a cold upstream can take from all daemons together; far above this rate,
+   * it crashes.
+   */
   readonly requestsPerS: number;
 }
 
 export interface ServicePool {
   readonly name: string;
-  /** Absent where a cold upstream takes as much as any other. */
+  /** Absent if a cold upstream can take as many requests as any other. */
   readonly warmUp?: WarmUpFacts;
   readonly engine?: EngineFacts;
 }
@@ -64,11 +71,11 @@
 export interface ForwardTeam {
   readonly name: string;
   readonly keys: readonly string[];
-  /** Goes before the route's own priority. */
+  /** Takes precedence over the route's priority. */
   readonly priority?: number;
 }
 
-/** What a caller may send, and how long it may take. */
+/** Size limits of requests, and time-outs for receiving them. */
 export interface CallerLimits {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -80,7 +87,7 @@
   readonly version: number;
   readonly routes: readonly ForwardRoute[];
   readonly services: readonly ServicePool[];
-  /** Empty: requests carry no key. */
+  /** Empty if requests carry no key. */
   readonly teams: readonly ForwardTeam[];
   readonly limits: CallerLimits;
 }
@@ -98,7 +105,10 @@
 
 export interface Upstream {
   readonly id: string;
-  /** Unix ms of its start. One that starts again under its id knows nothing of its earlier life. */
+  /**
+   * Unix time of its start in ms. An upstream that restarts under its id knows nothing of its
+   * earlier life.
+   */
   readonly bornAtMs?: number;
   readonly service: string;
   readonly host: string;
@@ -107,7 +117,7 @@
   readonly softwareVersion: string;
   readonly slots: number;
   readonly state: UpstreamState;
-  /** How much longer it is cold, from its word on; absent: not at all. */
+  /** How much longer it stays cold, counted from its statement; absent if it is not cold. */
   readonly coldMs?: number;
 }
 
@@ -116,11 +126,13 @@
   readonly tokens: number;
 }
 
-/** What a caller's headers say. */
+/** Options from a caller's headers. */
 export interface RequestOptions {
   /** Identifies one caller attempt. Empty when the caller sent none. */
   readonly attemptId: string;
-  /** How long the caller waits, from its sending. Absent: no bound of its own. */
+  /**
+   * How long the caller waits, counted from when it sent the request; absent if there is no limit.
+   */
   readonly deadlineMs?: number;
   readonly teamKey?: string;
   readonly session?: string;
@@ -128,23 +140,23 @@
   readonly maxOutputTokens: number;
   /** In order; the last part belongs to the request or its session alone. */
   readonly promptParts: readonly PromptPart[];
-  /** The caller has all events up to this one. */
+  /** The caller has received all events up to this one. */
   readonly lastEventId?: number;
 }
 
-/** What an upstream's answer headers say. */
+/** Metadata from an upstream's answer headers. */
 export interface AnswerFacts {
-  /** The attempt that the answer belongs to, as the upstream echoes it. */
+  /** The attempt that the answer belongs to, as echoed by the upstream. */
   readonly attemptId?: string;
   /** The upstream states that it did not run the request. */
   readonly isNotRun: boolean;
-  /** Another upstream answered than the one that the request was meant for. */
+  /** The answer came from another upstream than the one that the request was sent to. */
   readonly isMisdirected: boolean;
-  /** The model's opinion of its answer, 0 to 100. */
+  /** The model's confidence in its answer, 0 to 100. */
   readonly confidence?: number;
 }
 
-/** The headers that the forwarder sets on what it sends to an upstream. */
+/** Values of the headers that the forwarder adds to a request to an upstream. */
 export interface UpstreamHeaderValues {
   readonly upstreamId: string;
   readonly remainingMs: number;
@@ -157,16 +169,16 @@
 
 export type HeaderMap = Readonly<Record<string, string | string[] | undefined>>;
 
-/** Names and formats of headers, kept by the platform's adapter. */
+/** Header names and formats, implemented by the platform's adapter. */
 export interface HeaderDialect {
   readRequest(headers: HeaderMap): RequestOptions;
-  /** The headers for an upstream: the caller's end-to-end ones, and the values. */
+  /** The headers for an upstream: the caller's end-to-end headers plus the values. */
   buildUpstreamHeaders(
     headers: HeaderMap,
     values: UpstreamHeaderValues,
   ): Record<string, string | string[]>;
   readAnswer(status: number, headers: HeaderMap): AnswerFacts;
-  /** The answer's end-to-end headers, as the caller gets them. */
+  /** The answer's end-to-end headers as sent to the caller. */
   buildCallerHeaders(headers: HeaderMap): Record<string, string | string[]>;
 }
 
