--- a/packages/routing/src/chatExecution.ts
+++ b/packages/routing/src/chatExecution.ts
@@ -249,12 +249,12 @@
   ): Promise<StepAnswer | undefined> {
     this.#assertAllowed(step.version, session);
     const isRatedFirst = step.acceptAboveScore !== undefined && !isLast;
-    const isStreamedLive = this.#request.body.stream === true && !isRatedFirst;
+    const isStreamed = this.#request.body.stream === true && !isRatedFirst;
     const isPaired = index === 0 && plan.pair !== undefined;
     const needsText = plan.shouldRateAfterRelease || isPaired || this.#claim !== undefined;
-    const keepsText = !isStreamedLive || needsText;
+    const keepsText = !isStreamed || needsText;
     const headers = this.#getHeaders(step.version, plan, session);
-    const consumer = isStreamedLive
+    const consumer = isStreamed
       ? new StreamingConsumer(this.#sink, headers, includesUsage(this.#request))
       : new BufferedConsumer();
     const runner = new StepRunner(
--- a/packages/routing/src/teamShares/constants.ts
+++ b/packages/routing/src/teamShares/constants.ts
@@ -9,7 +9,7 @@
  * each sends them less often.
  */
 export const FULL_RATE_DAEMONS = 16;
-/** The longest request interval; a share must outlast one request and its response. */
+/** The longest request interval, at which a share still outlasts one request and its response. */
 export const MAX_REQUEST_INTERVAL_MS = 4_000;
 /** Request interval of a daemon that has not received any response. */
 export const FIRST_REQUEST_INTERVAL_MS = 250;
--- a/packages/routing/src/teamShares/sharePlaceResolver.ts
+++ b/packages/routing/src/teamShares/sharePlaceResolver.ts
@@ -14,7 +14,7 @@
  * If fixed shares grew as soon as other members seem dead, the two sides of a network partition
  * would take each other for dead and together exceed the limit. All remembered members therefore
  * count: a daemon until it has left by its own announcement or is forgotten, an hour after its
- * death; and a data centre that had daemons also as long as upstreams are configured in it.
+ * death; and a data centre that once had daemons, as long as upstreams are configured in it.
  */
 export class SharePlaceResolver {
   readonly #options: SharePlaceResolverOptions;
--- a/packages/routing/src/teamShares/teamShareAllocator.ts
+++ b/packages/routing/src/teamShares/teamShareAllocator.ts
@@ -68,7 +68,7 @@
 
   /**
    * Answers a request of one daemon; `place` is the allocator's own. Undefined if the term is over
-   * or the request is older than the last one.
+   * or the request is not newer than the daemon's last one.
    */
   allocate(message: RequestShares, place: SharePlace, nowMs: number): GrantedShares | undefined {
     const ttlMs = Math.min(SHARE_TTL_MS, this.#termEndsAtMs - nowMs);
--- a/packages/routing/src/teamShares/teamShares.ts
+++ b/packages/routing/src/teamShares/teamShares.ts
@@ -92,8 +92,9 @@
   }
 
   /**
-   * A new daemon holds no share until the allocator responds, or until any grant to its previous
-   * incarnation must have expired. Before that it would refuse every request, so it is not ready.
+   * A new daemon holds no share until the allocator responds, or until it has waited as long as its
+   * previous incarnation may have promised not to use its fixed share. Before that it would refuse
+   * every request, so it is not ready.
    */
   get isUsable(): boolean {
     return this.#holder.isUsable(this.#getNowMs());
--- a/packages/routing/src/upstreamWatcher.test.ts
+++ b/packages/routing/src/upstreamWatcher.test.ts
@@ -119,9 +119,9 @@
   await clock.tickAsync(3 * INTERVAL_MS);
   assert.ok(fixture.countPolls(REMOTE_URL) > 0);
   await clock.tickAsync(LONG_MS);
-  const asked = fixture.countPolls(REMOTE_URL);
+  const pollCount = fixture.countPolls(REMOTE_URL);
   await clock.tickAsync(LONG_MS);
-  assert.is(fixture.countPolls(REMOTE_URL), asked);
+  assert.is(fixture.countPolls(REMOTE_URL), pollCount);
 });
 
 test('detects by polling that a remote engine in use is leaving, and that it stays after all', async () => {
