--- a/packages/bench/src/crashes/playCrashes.ts
+++ b/packages/bench/src/crashes/playCrashes.ts
@@ -7,10 +7,10 @@
   type RequestDigest,
 } from '@snipehaven/common';
 import {
-  CrashLedger,
-  chooseSuspectPlace,
+  CrashCounter,
+  chooseSuspectUpstream,
   judgeSuspicion,
-  type EndReport,
+  type CrashReport,
 } from '@snipehaven/policy';
 import { EventQueue } from '../policy/world/eventQueue.js';
 import { drawExponential } from '../policy/world/sampling.js';
@@ -46,7 +46,7 @@
 const TELL_AGAIN_MS = 200;
 
 class PlayedDaemon {
-  readonly ledger = new CrashLedger();
+  readonly ledger = new CrashCounter();
 
   readonly held = new Map<RequestDigest, number>();
 
@@ -271,7 +271,7 @@
     const unused = this.#upstreams.filter(({ lifeId }) => !used.has(lifeId));
     if (this.#switches.goApart && daemon.ledger.getWeight(request.digest) > 0) {
       const lives = unused.map(({ lifeId }) => lifeId);
-      const chosen = chooseSuspectPlace(request.digest, lives);
+      const chosen = chooseSuspectUpstream(request.digest, lives);
       return unused.find(({ lifeId }) => lifeId === chosen);
     }
     const load = ({ lifeId }: CrashUpstream): number =>
@@ -312,7 +312,7 @@
     if (isByDeadly) {
       this.#noteDeadlyEnd(lost);
     }
-    const byDaemon = new Map<PlayedDaemon, EndReport>();
+    const byDaemon = new Map<PlayedDaemon, CrashReport>();
     lost.forEach((run) => this.#blame(run, life.lifeId, byDaemon));
     byDaemon.forEach((report, daemon) => this.#tell(daemon, report));
     lost.forEach((run) => run.onLoss());
@@ -332,7 +332,7 @@
     });
   }
 
-  #blame(run: PlayedRun, lifeId: string, byDaemon: Map<PlayedDaemon, EndReport>): void {
+  #blame(run: PlayedRun, lifeId: string, byDaemon: Map<PlayedDaemon, CrashReport>): void {
     const owner = this.#owners.get(run);
     if (owner === undefined) {
       return;
@@ -346,7 +346,7 @@
     byDaemon.set(owner.daemon, { lifeId, suspects });
   }
 
-  #tell(teller: PlayedDaemon, report: EndReport): void {
+  #tell(teller: PlayedDaemon, report: CrashReport): void {
     this.#clock.schedule(this.#clock.nowMs + FATE_MS / 2, () => this.#take(teller, report));
     for (const daemon of this.#daemons) {
       for (const delayMs of [0, TELL_AGAIN_MS]) {
@@ -361,8 +361,8 @@
     return this.#clock.nowMs + LEAST_WAY_MS + this.#random.next() * WAY_SPREAD_MS + FATE_MS / 2;
   }
 
-  #take(daemon: PlayedDaemon, report: EndReport): void {
-    for (const digest of daemon.ledger.note(report, this.#clock.nowMs)) {
+  #take(daemon: PlayedDaemon, report: CrashReport): void {
+    for (const digest of daemon.ledger.recordReport(report, this.#clock.nowMs)) {
       if (!daemon.held.has(digest)) {
         daemon.held.set(digest, this.#clock.nowMs);
       }
--- a/packages/bench/src/fleet/playFleet.ts
+++ b/packages/bench/src/fleet/playFleet.ts
@@ -2,14 +2,14 @@
 import { createRandom, type Random } from '@snipehaven/common';
 import {
   addPaces,
-  choosePlace,
+  choosePlacement,
   chooseNextModel,
   getLeaveMs,
   ModelDemand,
   WorkPace,
   type ModelWork,
   type PaceSum,
-  type PlaceInput,
+  type PlacementInput,
 } from '@snipehaven/policy';
 import { EventQueue } from '../policy/world/eventQueue.js';
 import { drawExponential } from '../policy/world/sampling.js';
@@ -44,7 +44,7 @@
 }
 
 interface Placing {
-  readonly input: PlaceInput;
+  readonly input: PlacementInput;
   readonly index: number;
   readonly startWork: number;
   readonly runWork: number;
@@ -179,7 +179,7 @@
     const load = daemon.loads[index] as Load;
     load.work += startWork + runWork;
     load.requests += 1;
-    daemon.demand.note(model.name, startWork + runWork);
+    daemon.demand.recordWork(model.name, startWork + runWork);
     const sentAtMs = this.#clock.nowMs;
     const settle = (work: number): void => {
       load.requests -= 1;
@@ -193,7 +193,7 @@
       outputTokens: request.outputTokens,
       priority: request.kind.priority,
       onBegin: () => {
-        daemon.pace.note(backlog + startWork, this.#clock.nowMs - sentAtMs);
+        daemon.pace.recordAnswer(backlog + startWork, this.#clock.nowMs - sentAtMs);
         load.work -= startWork;
         if (used === undefined && this.#wantsLarger(daemon, request, index)) {
           engine.cancel(run);
@@ -265,7 +265,7 @@
     const loads = this.#engines.map((_engine, index) => this.#getBacklog(daemon, index));
     const { hasLanes, hasSharedHomes } = this.#switches;
     const names = this.#plan.models.map(({ name }) => name);
-    const lane = hasLanes ? daemon.demand.findLane(names, model.name) : undefined;
+    const lane = hasLanes ? daemon.demand.findPartition(names, model.name) : undefined;
     const sharedWork = request.kind.sharedTokens * share;
     const wayThere = daemon.pace.estimateWork(REMOTE_MS);
     const remotePenalty = hasSharedHomes ? wayThere : Math.max(wayThere, sharedWork);
@@ -282,7 +282,7 @@
       failureShare: 0,
       isSuspect: index === used,
     });
-    const input: PlaceInput = {
+    const input: PlacementInput = {
       candidates: loads.map(toCandidate).filter((_one, index) => isAdmitted(index)),
       sharedWork,
       ownWork: (STEP_TOKENS + request.ownTokens) * share,
@@ -293,7 +293,7 @@
       ...(lane === undefined ? {} : { lane }),
       ...(sharedWork > 0 ? { affinityKey: `${model.name}|${request.subject}` } : {}),
     };
-    const placed = choosePlace(input);
+    const placed = choosePlacement(input);
     const index = Number(placed?.id.slice('engine-'.length) ?? 0);
     return {
       input,
--- a/packages/daemon/src/daemonCore.ts
+++ b/packages/daemon/src/daemonCore.ts
@@ -26,9 +26,9 @@
 import type { PeerHandlers, PeerTransport } from '@snipehaven/protocol';
 import { RolloutSystem } from '@snipehaven/rollouts';
 import {
-  AdmissionGate,
-  CrashTally,
-  LatencyBook,
+  AdmissionController,
+  CrashTracker,
+  LatencyTracker,
   RequestRouter,
   TeamLimiter,
   TeamShares,
@@ -108,7 +108,7 @@
 
   readonly registry: UpstreamRegistry;
 
-  readonly gate: AdmissionGate;
+  readonly gate: AdmissionController;
 
   readonly teamShares: TeamShares;
 
@@ -129,7 +129,7 @@
 
   readonly #claimCleaner: ClaimCleaner;
 
-  readonly #crashes = new CrashTally();
+  readonly #crashes = new CrashTracker();
 
   readonly #stopWatchingViolations: () => void;
 
@@ -195,7 +195,7 @@
       leases: this.leases,
       getView: () => this.configuration.getView(),
     });
-    this.gate = new AdmissionGate(() => this.#getAdmissionSettings(), random);
+    this.gate = new AdmissionController(() => this.#getAdmissionSettings(), random);
     this.metrics = new DaemonMetrics(this.#listGauges());
     this.router = this.#createRouter();
     this.#watcher = new UpstreamWatcher({
@@ -327,7 +327,7 @@
       engines,
       services,
       registry: this.registry,
-      latency: new LatencyBook(),
+      latency: new LatencyTracker(),
       gate: this.gate,
       limiter: new TeamLimiter(this.teamShares),
       metrics: this.metrics,
--- a/packages/forwarding/src/crashes/crashBook.test.ts
+++ b/packages/forwarding/src/crashes/crashTracker.test.ts
@@ -4,16 +4,16 @@
 import { HOLD_MS } from '@snipehaven/policy';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { EMPTY_CRASH_REPORT, type CrashReport } from '../peers/index.js';
+import { EMPTY_CRASH_MESSAGE, type CrashMessage } from '../peers/index.js';
 import type { Upstream } from '../types.js';
-import type { SentRequest, UpstreamEnd } from '../upstreams/index.js';
-import { CrashBook } from './crashBook.js';
+import type { InFlightRequest, UpstreamExit } from '../upstreams/index.js';
+import { CrashTracker } from './crashTracker.js';
 import { ANSWERED_FOR_MS, MAX_HELD } from './constants.js';
 
 interface Context {
   clock: Clock;
-  sentReports: CrashReport[];
-  book: CrashBook;
+  sentReports: CrashMessage[];
+  book: CrashTracker;
 }
 
 const test = suite<Context>('crash book', {} as Context);
@@ -21,8 +21,8 @@
 test.before.each((context) => {
   context.clock = FakeTimers.install();
   context.sentReports = [];
-  const broadcast = (report: CrashReport) => context.sentReports.push(report);
-  context.book = new CrashBook({
+  const broadcast = (report: CrashMessage) => context.sentReports.push(report);
+  context.book = new CrashTracker({
     logger: createSilentLogger(),
     random: createRandom(1),
     broadcast,
@@ -41,7 +41,7 @@
   return `attempt ${attempts}`;
 };
 
-const send = (digest: RequestDigest, beganAtMs?: number): SentRequest => ({
+const send = (digest: RequestDigest, beganAtMs?: number): InFlightRequest => ({
   attemptId: createAttemptId(),
   digest,
   sentAtMs: 0,
@@ -51,17 +51,17 @@
 
 const createEnd = (
   lifeId: string,
-  lost: readonly SentRequest[],
+  lost: readonly InFlightRequest[],
   isExpected = false,
-): UpstreamEnd => ({
+): UpstreamExit => ({
   upstream: { id: lifeId } as Upstream,
   lifeId,
   isExpected,
   lost,
 });
 
-const reportEnds = (digest: RequestDigest, ...lives: readonly string[]): CrashReport => ({
-  ...EMPTY_CRASH_REPORT,
+const reportEnds = (digest: RequestDigest, ...lives: readonly string[]): CrashMessage => ({
+  ...EMPTY_CRASH_MESSAGE,
   ends: lives.map((lifeId) => ({
     lifeId,
     suspects: [{ digest, attemptId: `at ${lifeId}`, suspicion: 'strong' }],
@@ -72,10 +72,10 @@
   book,
   sentReports,
 }) => {
-  book.noteEnd(createEnd('u-1', [send(A), send(B)]));
+  book.recordExit(createEnd('u-1', [send(A), send(B)]));
   book.receiveReport(reportEnds(A, 'u-1', 'u-2'));
   assert.is(book.findHold(A), undefined);
-  book.noteEnd(createEnd('u-3', [send(A)]));
+  book.recordExit(createEnd('u-3', [send(A)]));
   assert.equal(book.findHold(A)?.lives, ['u-1', 'u-2', 'u-3']);
   assert.is(book.findHold(B), undefined);
   assert.equal(
@@ -89,12 +89,12 @@
   clock,
 }) => {
   book.receiveReport(reportEnds(A, 'u-1', 'u-2', 'u-3'));
-  book.receiveReport({ ...EMPTY_CRASH_REPORT, cleared: [A] });
+  book.receiveReport({ ...EMPTY_CRASH_MESSAGE, cleared: [A] });
   assert.is(book.findHold(A), undefined);
   book.receiveReport(reportEnds(A, 'u-1', 'u-2', 'u-3'));
   assert.is(book.findHold(A), undefined, 'reported again after the answer');
   book.receiveReport(reportEnds(A, 'u-4', 'u-5', 'u-6'));
-  book.receiveReport({ ...EMPTY_CRASH_REPORT, alive: ['u-5'] });
+  book.receiveReport({ ...EMPTY_CRASH_MESSAGE, alive: ['u-5'] });
   assert.is(book.findHold(A), undefined);
   book.receiveReport(reportEnds(A, 'u-7', 'u-8', 'u-9'));
   clock.tick(HOLD_MS - 1);
@@ -112,8 +112,8 @@
   clock,
 }) => {
   ['u-1', 'u-2', 'u-3', 'u-4'].forEach((life) => {
-    book.noteEnd(createEnd(life, [send(A)]));
-    book.noteAnswered(A);
+    book.recordExit(createEnd(life, [send(A)]));
+    book.recordSuccess(A);
     clock.tick(ANSWERED_FOR_MS);
   });
   assert.is(book.findHold(A), undefined);
@@ -130,8 +130,8 @@
   clock,
 }) => {
   clock.tick(1_000);
-  book.noteAnswered(A);
-  ['u-1', 'u-2', 'u-3'].forEach((life) => book.noteEnd(createEnd(life, [send(A), send(B)])));
+  book.recordSuccess(A);
+  ['u-1', 'u-2', 'u-3'].forEach((life) => book.recordExit(createEnd(life, [send(A), send(B)])));
   assert.is(book.findHold(A), undefined);
   assert.ok(book.findHold(B));
   book.receiveReport(reportEnds(A, 'u-1', 'u-2', 'u-3'));
@@ -143,9 +143,9 @@
 });
 
 test('an answer clears a request for a limited time only', ({ book, clock }) => {
-  book.noteAnswered(A);
+  book.recordSuccess(A);
   clock.tick(ANSWERED_FOR_MS);
-  ['u-1', 'u-2', 'u-3'].forEach((life) => book.noteEnd(createEnd(life, [send(A)])));
+  ['u-1', 'u-2', 'u-3'].forEach((life) => book.recordExit(createEnd(life, [send(A)])));
   assert.ok(book.findHold(A));
 });
 
@@ -156,9 +156,9 @@
   sentReports,
   clock,
 }) => {
-  book.noteAnswered(A);
+  book.recordSuccess(A);
   book.receiveReport(reportEnds(A, 'u-1', 'u-2', 'u-3'));
-  book.receiveReport({ ...EMPTY_CRASH_REPORT, cleared: [A] });
+  book.receiveReport({ ...EMPTY_CRASH_MESSAGE, cleared: [A] });
   clock.tick(1_000);
   assert.equal(sentReports, []);
 });
@@ -168,7 +168,7 @@
   sentReports,
   clock,
 }) => {
-  book.noteAnswered(A);
+  book.recordSuccess(A);
   clock.tick(1_000);
   assert.equal(sentReports, []);
 });
@@ -179,7 +179,7 @@
 }) => {
   clock.tick(5_000);
   ['u-1', 'u-2', 'u-3'].forEach((life) => {
-    book.noteEnd(createEnd(life, [send(A, 100), send(B)], life === 'u-3'));
+    book.recordExit(createEnd(life, [send(A, 100), send(B)], life === 'u-3'));
   });
   assert.is(book.getWeight(A), 1.5);
   assert.is(book.getWeight(B), 2.5);
--- a/packages/forwarding/src/crashes/crashBook.ts
+++ b/packages/forwarding/src/crashes/crashTracker.ts
@@ -4,23 +4,23 @@
  */
 import { forgetOldest, type Logger, type Random, type RequestDigest } from '@snipehaven/common';
 import {
-  CrashLedger,
+  CrashCounter,
   HOLD_MS,
   judgeSuspicion,
-  type EndReport,
+  type CrashReport,
   type Suspect,
 } from '@snipehaven/policy';
-import { EMPTY_CRASH_REPORT, type CrashReport } from '../peers/index.js';
-import type { SentRequest, UpstreamEnd } from '../upstreams/index.js';
+import { EMPTY_CRASH_MESSAGE, type CrashMessage } from '../peers/index.js';
+import type { InFlightRequest, UpstreamExit } from '../upstreams/index.js';
 import { AnsweredRequests } from './answeredRequests.js';
 import { CLEARED_DELAY_MS, MAX_ENDED_LIVES, MAX_HELD, MAX_OBJECTION_MS } from './constants.js';
 import type { Hold } from './types.js';
 
-export interface CrashBookOptions {
+export interface CrashTrackerOptions {
   readonly logger: Logger;
   readonly random: Random;
   /** Sends the report to all other daemons. */
-  broadcast(report: CrashReport): void;
+  broadcast(report: CrashMessage): void;
 }
 
 /**
@@ -39,10 +39,10 @@
 
 type ReleaseCause = 'answered' | 'lapsed' | 'removed' | 'tooMany' | 'upstreamsLive';
 
-export class CrashBook {
-  readonly #options: CrashBookOptions;
+export class CrashTracker {
+  readonly #options: CrashTrackerOptions;
 
-  readonly #ledger = new CrashLedger();
+  readonly #ledger = new CrashCounter();
 
   readonly #holds = new Map<RequestDigest, Hold>();
 
@@ -55,7 +55,7 @@
   /** Newest last. */
   readonly #endedLives = new Set<string>();
 
-  constructor(options: CrashBookOptions) {
+  constructor(options: CrashTrackerOptions) {
     this.#options = options;
   }
 
@@ -94,24 +94,24 @@
   }
 
   /** Records the end of an upstream that was running requests of this daemon. */
-  noteEnd(end: UpstreamEnd): void {
+  recordExit(end: UpstreamExit): void {
     const nowMs = performance.now();
     const suspects = end.lost
       .filter(({ digest }) => !this.#answered.has(digest, nowMs))
       .map((one) => this.#toSuspect(one, end, nowMs));
     const report = { lifeId: end.lifeId, suspects };
-    this.#options.broadcast({ ...EMPTY_CRASH_REPORT, ends: [report] });
+    this.#options.broadcast({ ...EMPTY_CRASH_MESSAGE, ends: [report] });
     this.#recordEnd(report, 'own');
   }
 
-  receiveReport({ ends, cleared, alive }: CrashReport): void {
+  receiveReport({ ends, cleared, alive }: CrashMessage): void {
     ends.forEach((report) => this.#recordEnd(report, 'peer'));
     cleared.forEach((digest) => this.#clear(digest, 'peer'));
     alive.forEach((lifeId) => this.#withdraw(lifeId, 'peer'));
   }
 
   /** Records that an upstream answered the request completely. */
-  noteAnswered(digest: RequestDigest): void {
+  recordSuccess(digest: RequestDigest): void {
     this.#answered.note(digest, performance.now());
     if (this.#clear(digest, 'own')) {
       this.#scheduleClearedReport(digest);
@@ -125,7 +125,7 @@
       'upstream reported as ended is alive',
     );
     this.#withdraw(lifeId, 'own');
-    this.#options.broadcast({ ...EMPTY_CRASH_REPORT, alive: [lifeId] });
+    this.#options.broadcast({ ...EMPTY_CRASH_MESSAGE, alive: [lifeId] });
   }
 
   /** Applies a hold that was read from the store. */
@@ -144,8 +144,8 @@
   }
 
   #toSuspect(
-    { digest, attemptId, beganAtMs }: SentRequest,
-    { isExpected }: UpstreamEnd,
+    { digest, attemptId, beganAtMs }: InFlightRequest,
+    { isExpected }: UpstreamExit,
     nowMs: number,
   ): Suspect {
     const answeredForMs = beganAtMs === undefined ? undefined : nowMs - beganAtMs;
@@ -153,10 +153,10 @@
     return { digest, attemptId, suspicion };
   }
 
-  #recordEnd(report: EndReport, source: CrashSource): void {
+  #recordEnd(report: CrashReport, source: CrashSource): void {
     const nowMs = performance.now();
     this.#recordEndedLife(report.lifeId);
-    const heldDigests = this.#ledger.note(report, nowMs);
+    const heldDigests = this.#ledger.recordReport(report, nowMs);
     heldDigests.forEach((digest) => this.#hold(digest, source, nowMs));
   }
 
@@ -173,7 +173,7 @@
   #withdraw(lifeId: string, source: CrashSource): void {
     this.#ledger.withdraw(lifeId);
     for (const { digest, lives } of this.#holds.values()) {
-      if (lives.includes(lifeId) && !this.#ledger.isGuilty(digest)) {
+      if (lives.includes(lifeId) && !this.#ledger.hasReachedThreshold(digest)) {
         this.#release(digest, 'upstreamsLive', source);
       }
     }
@@ -181,7 +181,7 @@
 
   #hold(digest: RequestDigest, source: CrashSource, nowMs: number): void {
     if (this.findHold(digest) === undefined) {
-      const lives = this.#ledger.listLives(digest);
+      const lives = this.#ledger.listCrashedIncarnations(digest);
       this.#addHold({ digest, lives, sinceMs: nowMs, untilMs: nowMs + HOLD_MS }, source);
     }
   }
@@ -246,6 +246,6 @@
   #sendClearedReport(): void {
     const cleared = [...this.#cleared];
     this.#cleared.clear();
-    this.#options.broadcast({ ...EMPTY_CRASH_REPORT, cleared });
+    this.#options.broadcast({ ...EMPTY_CRASH_MESSAGE, cleared });
   }
 }
--- a/packages/forwarding/src/crashes/holdPersister.test.ts
+++ b/packages/forwarding/src/crashes/holdPersister.test.ts
@@ -7,9 +7,9 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import { StoreUnavailableError } from '../errors.js';
-import { EMPTY_CRASH_REPORT, type CrashReport } from '../peers/index.js';
+import { EMPTY_CRASH_MESSAGE, type CrashMessage } from '../peers/index.js';
 import type { Upstream } from '../types.js';
-import { CrashBook } from './crashBook.js';
+import { CrashTracker } from './crashTracker.js';
 import { HoldPersister } from './holdPersister.js';
 import type { HoldRecord } from './types.js';
 
@@ -20,7 +20,7 @@
 
 interface Context {
   clock: Clock;
-  book: CrashBook;
+  book: CrashTracker;
   holdPersister: HoldPersister;
   written: WrittenHold[];
   removed: RequestDigest[];
@@ -37,7 +37,7 @@
   const logger = createSilentLogger();
   const fresh = { written: [], removed: [], isStoreDown: false, rank: undefined };
   Object.assign(context, fresh, { clock: FakeTimers.install() });
-  context.book = new CrashBook({ logger, random: createRandom(1), broadcast: () => {} });
+  context.book = new CrashTracker({ logger, random: createRandom(1), broadcast: () => {} });
   const answer = <Value>(value: Value): Promise<Value> =>
     context.isStoreDown
       ? Promise.reject(new StoreUnavailableError('down'))
@@ -69,19 +69,19 @@
 
 const LIVES = ['u-1', 'u-2', 'u-3'];
 
-const reportEnds = (lives: readonly string[]): CrashReport => ({
-  ...EMPTY_CRASH_REPORT,
+const reportEnds = (lives: readonly string[]): CrashMessage => ({
+  ...EMPTY_CRASH_MESSAGE,
   ends: lives.map((lifeId) => ({
     lifeId,
     suspects: [{ digest: A, attemptId: `at ${lifeId}`, suspicion: 'strong' }],
   })),
 });
 
-const observeEnds = (book: CrashBook): void => {
+const observeEnds = (book: CrashTracker): void => {
   LIVES.forEach((lifeId) => {
     const one = { attemptId: `at ${lifeId}`, digest: A, sentAtMs: 0, beganAtMs: undefined };
     const lost = [{ ...one, onHeld: () => {} }];
-    book.noteEnd({ upstream: { id: lifeId } as Upstream, lifeId, isExpected: false, lost });
+    book.recordExit({ upstream: { id: lifeId } as Upstream, lifeId, isExpected: false, lost });
   });
 };
 
@@ -170,11 +170,11 @@
 test('the row is removed by the daemon that observed the answer, or by its writer on expiry', async (context) => {
   const { book, holdPersister, clock, removed } = context;
   holdPersister.applyRecord(recordUntil(HOLD_MS), 7, OFFSET_MS);
-  book.receiveReport({ ...EMPTY_CRASH_REPORT, cleared: [A] });
+  book.receiveReport({ ...EMPTY_CRASH_MESSAGE, cleared: [A] });
   await clock.tickAsync(1);
   assert.equal(removed, [], 'observed by another daemon');
   holdPersister.applyRecord(recordUntil(HOLD_MS), 8, OFFSET_MS);
-  book.noteAnswered(A);
+  book.recordSuccess(A);
   await clock.tickAsync(1);
   assert.equal(removed, [A]);
   holdPersister.applyRemoval(A);
--- a/packages/forwarding/src/crashes/holdPersister.ts
+++ b/packages/forwarding/src/crashes/holdPersister.ts
@@ -4,7 +4,7 @@
  * others wait for their turn and write if there is no row by then, because that daemon may be gone.
  */
 import { getErrorMessage, type Logger, type Random, type RequestDigest } from '@snipehaven/common';
-import type { CrashBook } from './crashBook.js';
+import type { CrashTracker } from './crashTracker.js';
 import type { Hold, HoldRecord, HoldWriter } from './types.js';
 
 /** Per preceding daemon: a row is written and known everywhere within this time. */
@@ -17,7 +17,7 @@
 const RETRY_MS = 2_000;
 
 export interface HoldPersisterOptions {
-  readonly book: CrashBook;
+  readonly book: CrashTracker;
   readonly writer: HoldWriter;
   readonly vm: string;
   readonly logger: Logger;
--- a/packages/forwarding/src/daemon/crashCoordinator.ts
+++ b/packages/forwarding/src/daemon/crashCoordinator.ts
@@ -3,10 +3,10 @@
  * roll-outs.
  */
 import type { Logger, Random } from '@snipehaven/common';
-import { CrashBook, HoldPersister } from '../crashes/index.js';
+import { CrashTracker, HoldPersister } from '../crashes/index.js';
 import type { ForwardMetrics } from '../edge/index.js';
 import type { PeerExchange } from '../peers/index.js';
-import type { RolloutGuide } from '../rollouts/index.js';
+import type { RolloutTracker } from '../rollouts/index.js';
 import type { RowStore } from '../store/index.js';
 import type { UpstreamDirectory } from '../upstreams/index.js';
 import { StoreHoldWriter } from './storeHoldWriter.js';
@@ -18,7 +18,7 @@
   readonly random: Random;
   readonly metrics: ForwardMetrics;
   readonly directory: UpstreamDirectory;
-  readonly rollouts: RolloutGuide;
+  readonly rollouts: RolloutTracker;
   /** Used for the rows of held requests. */
   readonly store: RowStore;
   /** The exchange is created after this object and available before the first request. */
@@ -28,7 +28,7 @@
 }
 
 export class CrashCoordinator {
-  readonly book: CrashBook;
+  readonly book: CrashTracker;
 
   readonly holdPersister: HoldPersister;
 
@@ -37,10 +37,10 @@
   constructor(options: CrashCoordinatorOptions) {
     const { adapter, logger, random, store, metrics, getExchange, getStoreOffsetMs } = options;
     this.#options = options;
-    this.book = new CrashBook({
+    this.book = new CrashTracker({
       logger,
       random,
-      broadcast: (report) => getExchange().broadcastCrashReport(report),
+      broadcast: (report) => getExchange().broadcastCrashMessage(report),
     });
     this.holdPersister = new HoldPersister({
       book: this.book,
@@ -61,10 +61,10 @@
 
   #connect(): void {
     const { directory, metrics } = this.#options;
-    directory.watchEnds({
-      onEnd: (end) => {
-        metrics.countUpstreamEnd(end.upstream.service);
-        this.book.noteEnd(end);
+    directory.watchExits({
+      onExit: (end) => {
+        metrics.countUpstreamExit(end.upstream.service);
+        this.book.recordExit(end);
       },
       onAlive: (lifeId) => this.book.noteAlive(lifeId),
     });
@@ -81,11 +81,11 @@
    */
   #judgeEnd(lifeId: string): void {
     const { directory, rollouts, getExchange } = this.#options;
-    const entry = directory.findLife(lifeId);
+    const entry = directory.findIncarnation(lifeId);
     if (entry?.upstream.state === 'ready' && getExchange().isFirstWriter) {
       const { service, softwareVersion, dataCentre } = entry.upstream;
       const work = { service, softwareVersion, dataCentre, workKind: 'end' };
-      rollouts.noteAnswer({ ...work, isFailed: true });
+      rollouts.recordAnswer({ ...work, isFailed: true });
     }
   }
 }
--- a/packages/forwarding/src/daemon/createWatchers.ts
+++ b/packages/forwarding/src/daemon/createWatchers.ts
@@ -4,7 +4,7 @@
 import { Freshness } from '../configuration/freshness.js';
 import type { StoreClock } from '../configuration/storeClock.js';
 import type { ReaderRegistry, PeerExchange } from '../peers/index.js';
-import type { RolloutGuide } from '../rollouts/index.js';
+import type { RolloutTracker } from '../rollouts/index.js';
 import { TableWatcher, type RowStore } from '../store/index.js';
 import type { UpstreamDirectory } from '../upstreams/index.js';
 import { OperatorListener, UpstreamListener, type StatusListener } from './tableListeners.js';
@@ -38,7 +38,7 @@
   readonly exchange: PeerExchange;
   readonly configuration: ConfigurationHolder;
   readonly directory: UpstreamDirectory;
-  readonly rollouts: RolloutGuide;
+  readonly rollouts: RolloutTracker;
   readonly storeClock: StoreClock;
   readonly statusListener: StatusListener;
   readonly statusFreshness: Freshness;
--- a/packages/forwarding/src/daemon/forwardDaemon.ts
+++ b/packages/forwarding/src/daemon/forwardDaemon.ts
@@ -5,9 +5,9 @@
 import { Freshness } from '../configuration/freshness.js';
 import { StoreClock } from '../configuration/storeClock.js';
 import { ForwardMetrics, FrontServer, StatusServer, type CallerListener } from '../edge/index.js';
-import { RolloutGuide, RolloutKeeper } from '../rollouts/index.js';
+import { RolloutTracker, RolloutKeeper } from '../rollouts/index.js';
 import type { RowStore, TableWatcher } from '../store/index.js';
-import { ColdGate, UpstreamDirectory } from '../upstreams/index.js';
+import { ColdRateLimiter, UpstreamDirectory } from '../upstreams/index.js';
 import {
   ReaderRegistry,
   PeerDirectory,
@@ -61,7 +61,7 @@
 
   readonly #directory: UpstreamDirectory;
 
-  readonly #rollouts: RolloutGuide;
+  readonly #rollouts: RolloutTracker;
 
   readonly #crashes: CrashCoordinator;
 
@@ -126,7 +126,7 @@
     );
     const { vmName, sessionTtlMs, allowedExposure } = adapter.settings;
     this.#readerRegistry = new ReaderRegistry(vmName, adapter.settings.dataCentre);
-    this.#rollouts = new RolloutGuide({
+    this.#rollouts = new RolloutTracker({
       logger,
       vm: vmName,
       freshness: this.#statusFreshness,
@@ -153,7 +153,7 @@
     this.#front = new FrontServer({
       configuration: this.#configuration,
       directory: this.#directory,
-      coldGate: new ColdGate(this.#exchange),
+      coldGate: new ColdRateLimiter(this.#exchange),
       dialect: adapter.dialect,
       rollouts: this.#rollouts,
       crashes: this.#crashes.book,
@@ -313,8 +313,8 @@
       processId: getEntropySeed(),
       readOwnLoads: () => this.#readOwnLoads(),
       readOwnStatistics: () => this.#readOwnStatistics(),
-      onCrashReport: (report) => this.#crashes.book.receiveReport(report),
-      onBadVersion: (report) => this.#rollouts.takeBadVersion(report),
+      onCrashMessage: (report) => this.#crashes.book.receiveReport(report),
+      onBadVersion: (report) => this.#rollouts.receiveBadVersion(report),
       meter: this.#metrics,
     });
   }
--- a/packages/forwarding/src/daemon/tableListeners.ts
+++ b/packages/forwarding/src/daemon/tableListeners.ts
@@ -7,7 +7,7 @@
 import type { StoreClock } from '../configuration/storeClock.js';
 import type { HoldPersister } from '../crashes/index.js';
 import type { Peer } from '../peers/index.js';
-import type { RolloutGuide } from '../rollouts/rolloutGuide.js';
+import type { RolloutTracker } from '../rollouts/rolloutTracker.js';
 import type { StoreChange, StoreRow, TableListener } from '../store/index.js';
 import type { UpstreamDirectory } from '../upstreams/index.js';
 import type { Upstream } from '../types.js';
@@ -18,7 +18,7 @@
 export interface OperatorListenerOptions {
   readonly adapter: PlatformAdapter;
   readonly configuration: ConfigurationHolder;
-  readonly rollouts: RolloutGuide;
+  readonly rollouts: RolloutTracker;
   readonly directory: UpstreamDirectory;
   readonly logger: Logger;
 }
@@ -29,7 +29,7 @@
 
   readonly #configuration: ConfigurationHolder;
 
-  readonly #rollouts: RolloutGuide;
+  readonly #rollouts: RolloutTracker;
 
   readonly #directory: UpstreamDirectory;
 
@@ -84,7 +84,7 @@
       this.#configuration.apply(document.configuration);
     }
     if (document?.kind === 'rollout') {
-      this.#rollouts.takeOrder(document.order, row.version, givenWithinMs);
+      this.#rollouts.applyOrder(document.order, row.version, givenWithinMs);
     }
     if (document?.kind === 'evacuation') {
       this.#directory.evacuate(document.dataCentre);
@@ -148,7 +148,7 @@
 
 export interface StatusListenerOptions {
   readonly adapter: PlatformAdapter;
-  readonly rollouts: RolloutGuide;
+  readonly rollouts: RolloutTracker;
   readonly holds: HoldPersister;
   readonly logger: Logger;
   readonly clock: StoreClock;
@@ -159,7 +159,7 @@
 export class StatusListener implements TableListener {
   readonly #adapter: PlatformAdapter;
 
-  readonly #rollouts: RolloutGuide;
+  readonly #rollouts: RolloutTracker;
 
   readonly #decoder: RowDecoder;
 
@@ -216,10 +216,10 @@
 
   #apply(row: StoreRow, document: StatusDocument | undefined): void {
     if (document?.kind === 'rollout') {
-      this.#rollouts.takeStatus(document.status, row.version);
+      this.#rollouts.applyStatus(document.status, row.version);
     }
     if (document?.kind === 'evidence') {
-      this.#rollouts.takeEvidence(document.evidence);
+      this.#rollouts.addEvidence(document.evidence);
     }
     if (document?.kind === 'hold') {
       this.#holds.applyRecord(document.hold, row.version, this.storeOffsetMs ?? 0);
--- a/packages/forwarding/src/edge/forwardMetrics.ts
+++ b/packages/forwarding/src/edge/forwardMetrics.ts
@@ -98,7 +98,7 @@
     this.#datagrams.inc({ kind, direction });
   }
 
-  countUpstreamEnd(service: string): void {
+  countUpstreamExit(service: string): void {
     this.#upstreamEnds.inc({ service });
   }
 
--- a/packages/forwarding/src/exchange/types.ts
+++ b/packages/forwarding/src/exchange/types.ts
@@ -1,5 +1,5 @@
 /** Types of one request sent to one upstream, and of its outcome. */
-import type { AnswerFacts, HeaderMap } from '../types.js';
+import type { AnswerMetadata, HeaderMap } from '../types.js';
 
 /**
  * Outcome of a request without a complete response. `notSent`: no byte was written. `unknown`: it
@@ -22,7 +22,7 @@
 export interface ResponseHead {
   readonly status: number;
   readonly headers: HeaderMap;
-  readonly facts: AnswerFacts;
+  readonly facts: AnswerMetadata;
   readonly framing: ResponseFraming;
 }
 
--- a/packages/forwarding/src/peers/aggregationStrategy.ts
+++ b/packages/forwarding/src/peers/aggregationStrategy.ts
@@ -154,7 +154,7 @@
    */
   #receiveOwn(message: LoadMessage, nowMs: number): void {
     if (this.#isAggregator) {
-      this.#context.loads.take(message, nowMs);
+      this.#context.loads.receive(message, nowMs);
       this.#context.readerRegistry.receiveReports(message, nowMs);
     }
   }
@@ -170,7 +170,7 @@
         rollouts: subtractRolloutCounts(message.learned.rollouts, this.#sentStatistics.rollouts),
       };
       const otherLoads = subtractLoads(message.loads, this.#sentLoads);
-      loads.take({ ...message, loads: otherLoads, learned }, nowMs);
+      loads.receive({ ...message, loads: otherLoads, learned }, nowMs);
       readerRegistry.receiveReaders(message.readers, nowMs);
       this.#sendIfChanged(nowMs);
     }
@@ -198,7 +198,7 @@
     }
     const { vm, members, dataCentre } = message;
     this.#remoteAggregators.set(dataCentre, { vm, members, heardAtMs: nowMs });
-    loads.take(message, nowMs);
+    loads.receive(message, nowMs);
     readerRegistry.receiveReaders(message.readers, nowMs, message.dataCentre);
   }
 
--- a/packages/forwarding/src/peers/badVersionMessage.ts
+++ b/packages/forwarding/src/peers/badVersionMessage.ts
@@ -2,7 +2,7 @@
 import { compressDatagram, readMessageParts } from './datagram.js';
 
 /** Identifies the roll-out order whose new version is bad. */
-export interface BadVersionNews {
+export interface BadVersionMessage {
   readonly service: string;
   /** Distinguishes successive orders of a service. */
   readonly orderVersion: number;
@@ -12,13 +12,13 @@
   readonly badVersion: readonly [service: string, orderVersion: number];
 }
 
-export const encodeBadVersion = ({ service, orderVersion }: BadVersionNews): Buffer => {
+export const encodeBadVersion = ({ service, orderVersion }: BadVersionMessage): Buffer => {
   const message: WireMessage = { badVersion: [service, orderVersion] };
   return compressDatagram(JSON.stringify(message));
 };
 
 /** Undefined if the decoded datagram is not such a message. */
-export const decodeBadVersion = (message: unknown): BadVersionNews | undefined => {
+export const decodeBadVersion = (message: unknown): BadVersionMessage | undefined => {
   const [service, orderVersion] = readMessageParts(message, 'badVersion') ?? [];
   return typeof service === 'string' && typeof orderVersion === 'number'
     ? { service, orderVersion }
--- a/packages/forwarding/src/peers/crashMessage.test.ts
+++ b/packages/forwarding/src/peers/crashMessage.test.ts
@@ -3,7 +3,7 @@
 import type { Suspect } from '@snipehaven/policy';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { encodeCrashReport, decodeCrashReport, type CrashReport } from './crashMessage.js';
+import { encodeCrashMessage, decodeCrashMessage, type CrashMessage } from './crashMessage.js';
 import { parseDatagram } from './datagram.js';
 
 const test = suite('crash report');
@@ -14,11 +14,11 @@
   suspicion,
 });
 
-const roundTrip = (report: CrashReport): CrashReport | undefined =>
-  decodeCrashReport(parseDatagram(encodeCrashReport(report)));
+const roundTrip = (report: CrashMessage): CrashMessage | undefined =>
+  decodeCrashMessage(parseDatagram(encodeCrashMessage(report)));
 
 test('decodes to what was encoded, the most suspect request first', () => {
-  const report: CrashReport = {
+  const report: CrashMessage = {
     ends: [{ lifeId: 'u-1', suspects: [suspect('a', 'strong'), suspect('b', 'weak')] }],
     cleared: [asId<RequestDigest>('c')],
     alive: ['u-2'],
@@ -33,7 +33,7 @@
   const [end] = roundTrip(report)?.ends ?? [];
   assert.ok((end?.suspects.length ?? 0) < 1_000);
   assert.equal(end?.suspects[0], suspect('a', 'strong'));
-  assert.ok(encodeCrashReport(report).length < 64_000);
+  assert.ok(encodeCrashMessage(report).length < 64_000);
 });
 
 test('is not decoded if malformed', () => {
@@ -45,7 +45,7 @@
     [[['', []]], [], []],
     [[], [5], []],
   ]) {
-    assert.is(decodeCrashReport({ crashes }), undefined);
+    assert.is(decodeCrashMessage({ crashes }), undefined);
   }
 });
 
--- a/packages/forwarding/src/peers/crashMessage.ts
+++ b/packages/forwarding/src/peers/crashMessage.ts
@@ -6,20 +6,20 @@
 import {
   fromSuspectTuple,
   toSuspectTuple,
-  type EndReport,
+  type CrashReport,
   type SuspectTuple,
 } from '@snipehaven/policy';
 import { compressDatagram, readMessageParts } from './datagram.js';
 
-export interface CrashReport {
-  readonly ends: readonly EndReport[];
+export interface CrashMessage {
+  readonly ends: readonly CrashReport[];
   /** Requests that were answered completely after an upstream had ended while running them. */
   readonly cleared: readonly RequestDigest[];
   /** Life ids of upstreams that were reported as ended but are alive. */
   readonly alive: readonly string[];
 }
 
-export const EMPTY_CRASH_REPORT: CrashReport = { ends: [], cleared: [], alive: [] };
+export const EMPTY_CRASH_MESSAGE: CrashMessage = { ends: [], cleared: [], alive: [] };
 
 /**
  * Suspects reported per ended upstream, most suspect first; more than an engine accepts from one
@@ -37,12 +37,12 @@
   ];
 }
 
-const toWireEnd = ({ lifeId, suspects }: EndReport): WireEnd => {
+const toWireEnd = ({ lifeId, suspects }: CrashReport): WireEnd => {
   const mostSuspectFirst = suspects.map(toSuspectTuple).sort(([, a], [, b]) => b - a);
   return [lifeId, mostSuspectFirst.slice(0, MAX_SUSPECTS)];
 };
 
-export const encodeCrashReport = ({ ends, cleared, alive }: CrashReport): Buffer => {
+export const encodeCrashMessage = ({ ends, cleared, alive }: CrashMessage): Buffer => {
   const message: WireMessage = { crashes: [ends.map(toWireEnd), cleared, alive] };
   return compressDatagram(JSON.stringify(message));
 };
@@ -66,7 +66,7 @@
   value[1].every(isSuspectTuple);
 
 /** Undefined if the decoded datagram is not a valid crash report. */
-export const decodeCrashReport = (message: unknown): CrashReport | undefined => {
+export const decodeCrashMessage = (message: unknown): CrashMessage | undefined => {
   const [ends, cleared, alive] = readMessageParts(message, 'crashes') ?? [];
   const isValid =
     Array.isArray(ends) &&
--- a/packages/forwarding/src/peers/datagramDispatch.ts
+++ b/packages/forwarding/src/peers/datagramDispatch.ts
@@ -1,10 +1,10 @@
 /** Decodes datagrams and dispatches them by message type. */
 import { decodeChanges, type TableChanges } from './changesMessage.js';
-import { decodeCrashReport, type CrashReport } from './crashMessage.js';
+import { decodeCrashMessage, type CrashMessage } from './crashMessage.js';
 import { decodeJoinMessage, type JoinMessage } from './joinMessages.js';
 import { decodeLoadMessage } from './loadMessage.js';
 import type { LoadDatagram } from './loadSharingStrategy.js';
-import { decodeBadVersion, type BadVersionNews } from './badVersionMessage.js';
+import { decodeBadVersion, type BadVersionMessage } from './badVersionMessage.js';
 
 /** A decoded datagram with its raw bytes. */
 export interface ReceivedDatagram {
@@ -18,8 +18,8 @@
   readonly loads: (datagram: LoadDatagram) => void;
   readonly changes: (changes: TableChanges, datagram: ReceivedDatagram) => void;
   readonly join: (message: JoinMessage) => void;
-  readonly crashes: (report: CrashReport) => void;
-  readonly badVersion: (report: BadVersionNews) => void;
+  readonly crashes: (report: CrashMessage) => void;
+  readonly badVersion: (report: BadVersionMessage) => void;
 }
 
 /** Returns the message type, or undefined if the handler does not know the message. */
@@ -49,7 +49,7 @@
   ),
   createHandler(decodeChanges, handlers.changes, () => 'changes'),
   createHandler(decodeJoinMessage, handlers.join, ({ kind }) => kind),
-  createHandler(decodeCrashReport, handlers.crashes, () => 'crashes'),
+  createHandler(decodeCrashMessage, handlers.crashes, () => 'crashes'),
   createHandler(decodeBadVersion, handlers.badVersion, () => 'badVersion'),
 ];
 
--- a/packages/forwarding/src/peers/index.ts
+++ b/packages/forwarding/src/peers/index.ts
@@ -1,4 +1,4 @@
-export { EMPTY_CRASH_REPORT, type CrashReport } from './crashMessage.js';
+export { EMPTY_CRASH_MESSAGE, type CrashMessage } from './crashMessage.js';
 export { createUdpPort, type DatagramPort } from './datagramPort.js';
 export { PeerExchange } from './peerExchange.js';
 export { PeerDirectory, type Peer } from './peerDirectory.js';
@@ -11,7 +11,7 @@
   type ServiceRolloutCounts,
 } from './sharedStatistics.js';
 export type { UpstreamLoad } from './loadMessage.js';
-export type { BadVersionNews } from './badVersionMessage.js';
+export type { BadVersionMessage } from './badVersionMessage.js';
 export {
   ReaderRegistry,
   MAX_MESH_DAEMONS,
--- a/packages/forwarding/src/peers/meshStrategy.ts
+++ b/packages/forwarding/src/peers/meshStrategy.ts
@@ -48,7 +48,7 @@
 
   receive({ message }: LoadDatagram, nowMs: number): void {
     if (message.scope === 'own') {
-      this.#context.loads.take(message, nowMs);
+      this.#context.loads.receive(message, nowMs);
       this.#context.readerRegistry.receiveReports(message, nowMs);
     }
   }
--- a/packages/forwarding/src/peers/peerExchange.ts
+++ b/packages/forwarding/src/peers/peerExchange.ts
@@ -3,7 +3,7 @@
 import type { StoreClock } from '../configuration/storeClock.js';
 import type { SnapshotSource, TableSnapshot } from '../store/types.js';
 import type { SocketAddress } from '../types.js';
-import { encodeCrashReport, type CrashReport } from './crashMessage.js';
+import { encodeCrashMessage, type CrashMessage } from './crashMessage.js';
 import { ChangesRelay } from './changesRelay.js';
 import { parseDatagram } from './datagram.js';
 import {
@@ -25,7 +25,7 @@
 import { Roster } from './roster.js';
 import { AggregationStrategy } from './aggregationStrategy.js';
 import { TICK_MS, type LoadDatagram, type LoadSharingStrategy } from './loadSharingStrategy.js';
-import { encodeBadVersion, type BadVersionNews } from './badVersionMessage.js';
+import { encodeBadVersion, type BadVersionMessage } from './badVersionMessage.js';
 
 export interface PeerExchangeOptions {
   readonly directory: PeerDirectory;
@@ -45,9 +45,9 @@
   /** The store's tables as currently known by this daemon. */
   listSnapshots(): readonly TableSnapshot[];
   /** Called when another daemon reports upstreams that ended. */
-  onCrashReport(report: CrashReport): void;
+  onCrashMessage(report: CrashMessage): void;
   /** Called when another daemon has judged a version bad. */
-  onBadVersion(report: BadVersionNews): void;
+  onBadVersion(report: BadVersionMessage): void;
 }
 
 /**
@@ -88,7 +88,7 @@
     loads: (datagram) => this.#receiveLoads(datagram),
     changes: (changes, { bytes, host }) => this.#relay.receive(changes, bytes, host),
     join: (message) => this.#joinProtocol.receive(message, performance.now()),
-    crashes: (report) => this.#options.onCrashReport(report),
+    crashes: (report) => this.#options.onCrashMessage(report),
     badVersion: (report) => this.#options.onBadVersion(report),
   });
 
@@ -144,7 +144,7 @@
     return this.#options.directory.daemonCount;
   }
 
-  get isAcquainted(): boolean {
+  get hasDiscoveredPeers(): boolean {
     return this.#joinProtocol.hasDiscoveredPeers(performance.now());
   }
 
@@ -196,8 +196,8 @@
    * receive the suspect request next, and a relayed report would be lost together with the relaying
    * daemon.
    */
-  broadcastCrashReport(report: CrashReport): void {
-    const bytes = encodeCrashReport(report);
+  broadcastCrashMessage(report: CrashMessage): void {
+    const bytes = encodeCrashMessage(report);
     const send = (): void => {
       if (!this.#isStopped) {
         this.#messenger.sendTo(this.#options.directory.all, bytes);
@@ -211,7 +211,7 @@
    * Sent to one random daemon at a time. Each receiver sends it on, so all daemons know it within
    * seconds.
    */
-  sendBadVersion(report: BadVersionNews): void {
+  sendBadVersion(report: BadVersionMessage): void {
     const peer = this.#options.directory.pickAny();
     if (peer !== undefined && !this.#isStopped) {
       this.#messenger.sendTo([peer], encodeBadVersion(report));
--- a/packages/forwarding/src/peers/peerLoads.ts
+++ b/packages/forwarding/src/peers/peerLoads.ts
@@ -72,7 +72,7 @@
   #statistics: SharedStatistics | undefined;
 
   /** Ignores the message if a newer one of the same process was received before. */
-  take(message: LoadMessage, nowMs: number): void {
+  receive(message: LoadMessage, nowMs: number): void {
     const key = getKey[message.scope](message);
     const known = this.#entries.get(key)?.message;
     if (known?.process === message.process && known.sequence >= message.sequence) {
--- a/packages/forwarding/src/peers/readerRegistry.test.ts
+++ b/packages/forwarding/src/peers/readerRegistry.test.ts
@@ -206,7 +206,7 @@
 test('loads of a silent daemon expire, and late datagrams are ignored', () => {
   const loads = new PeerLoads();
   const receive = (sequence: number, work: number, nowMs: number, process = 1) =>
-    loads.take(
+    loads.receive(
       createMessage('vm-1', {
         process,
         sequence,
@@ -228,9 +228,9 @@
 test('the sum of a data centre includes each of its daemons once and no other daemon', () => {
   const loads = new PeerLoads();
   const here = new Map([['u-1', { work: 10, requests: 1 }]]);
-  loads.take(createMessage('vm-1', { loads: here }), 0);
-  loads.take(createMessage('vm-2', { loads: here, dataCentre: 'b' }), 0);
-  loads.take(createMessage('vm-3', { loads: here, dataCentre: 'c', scope: 'dataCentre' }), 0);
+  loads.receive(createMessage('vm-1', { loads: here }), 0);
+  loads.receive(createMessage('vm-2', { loads: here, dataCentre: 'b' }), 0);
+  loads.receive(createMessage('vm-3', { loads: here, dataCentre: 'c', scope: 'dataCentre' }), 0);
   assert.equal([...loads.sumDataCentre('a', here)], [['u-1', { work: 20, requests: 2 }]]);
   assert.is(loads.get('u-1').work, 30);
   assert.equal([...loads.sumFleet(here)], [['u-1', { work: 40, requests: 4 }]]);
@@ -242,11 +242,11 @@
   const loads = new PeerLoads();
   const part = new Map([['u-1', { work: 10, requests: 1 }]]);
   const whole = new Map([['u-1', { work: 30, requests: 3 }]]);
-  loads.take(createMessage('vm-1', { loads: part }), 0);
-  loads.take(createMessage('c', { loads: part, dataCentre: 'c', scope: 'dataCentre' }), 0);
-  loads.take(createMessage('vm-2', { loads: whole, scope: 'fleet' }), 0);
+  loads.receive(createMessage('vm-1', { loads: part }), 0);
+  loads.receive(createMessage('c', { loads: part, dataCentre: 'c', scope: 'dataCentre' }), 0);
+  loads.receive(createMessage('vm-2', { loads: whole, scope: 'fleet' }), 0);
   assert.equal(loads.get('u-1'), { work: 30, requests: 3 });
-  loads.take(createMessage('vm-1', { loads: part, sequence: 2 }), 0);
+  loads.receive(createMessage('vm-1', { loads: part, sequence: 2 }), 0);
   assert.equal(loads.get('u-1'), { work: 10, requests: 1 });
 });
 
--- a/packages/forwarding/src/peers/testSupport/daemonFleet.ts
+++ b/packages/forwarding/src/peers/testSupport/daemonFleet.ts
@@ -192,7 +192,7 @@
       processId: seed,
       readOwnLoads: () => new Map(ownLoads),
       readOwnStatistics: () => learned,
-      onCrashReport: () => {},
+      onCrashMessage: () => {},
       onBadVersion: () => {},
     });
     const member = { self, directory, loads, readerRegistry, exchange, ownLoads, tables };
--- a/packages/forwarding/src/rollouts/filterByVersion.ts
+++ b/packages/forwarding/src/rollouts/filterByVersion.ts
@@ -1,5 +1,5 @@
 /** Filters the upstreams that a request may go to, by the state of the service's roll-out. */
-import { getAffinityWeight, hashAffinityKey, type RolloutPlace } from '@snipehaven/policy';
+import { getAffinityWeight, hashAffinityKey, type RolloutPosition } from '@snipehaven/policy';
 import type { RequestOptions, RolloutState } from '../types.js';
 import type { UpstreamEntry } from '../upstreams/index.js';
 
@@ -8,7 +8,7 @@
   readonly toVersion: string;
   /** The version that served before the order; undefined where that is not known. */
   readonly fromVersion: string | undefined;
-  readonly place: RolloutPlace;
+  readonly place: RolloutPosition;
   /** The version that the request's session last ran on at this daemon. */
   readonly ranOn: string | undefined;
   readonly options: RequestOptions;
--- a/packages/forwarding/src/rollouts/index.ts
+++ b/packages/forwarding/src/rollouts/index.ts
@@ -1,3 +1,3 @@
-export { RolloutGuide } from './rolloutGuide.js';
+export { RolloutTracker } from './rolloutTracker.js';
 export { RolloutKeeper } from './rolloutKeeper.js';
 export type * from './types.js';
--- a/packages/forwarding/src/rollouts/rolloutKeeper.test.ts
+++ b/packages/forwarding/src/rollouts/rolloutKeeper.test.ts
@@ -8,7 +8,7 @@
 import { Freshness } from '../configuration/freshness.js';
 import { StoreClock, readClocks } from '../configuration/storeClock.js';
 import { NO_ROLLOUT_COUNTS, type RolloutCounts } from '../peers/index.js';
-import { RolloutGuide } from './rolloutGuide.js';
+import { RolloutTracker } from './rolloutTracker.js';
 import { RolloutKeeper } from './rolloutKeeper.js';
 import type { RolloutAnswer, RolloutStatus, RolloutWriter } from './types.js';
 
@@ -38,7 +38,7 @@
   /** State as the operator reads it. */
   state: RolloutStatus['state'] | undefined;
 
-  readonly guides: RolloutGuide[] = [];
+  readonly guides: RolloutTracker[] = [];
 
   createWriter(): RolloutWriter {
     return {
@@ -59,7 +59,7 @@
     this.state = status.state;
     const version = this.#version;
     setTimeout(() => {
-      this.guides.forEach((guide) => guide.takeStatus(status, version));
+      this.guides.forEach((guide) => guide.applyStatus(status, version));
     }, PROPAGATION_MS);
     return Promise.resolve(true);
   }
@@ -79,8 +79,8 @@
   freshness: Freshness,
   findPeerCounts = (): RolloutCounts | undefined => undefined,
   upstreamsByDataCentre: ReadonlyMap<string, number> = new Map([['a', 1]]),
-): RolloutGuide =>
-  new RolloutGuide({
+): RolloutTracker =>
+  new RolloutTracker({
     logger: createSilentLogger(),
     vm,
     freshness,
@@ -112,7 +112,7 @@
       getWriterRank: () => rank,
       tellBadVersion: () => {},
     }).start();
-    guide.takeOrder(ORDER, 7, 0);
+    guide.applyOrder(ORDER, 7, 0);
   });
 };
 
@@ -154,7 +154,7 @@
 });
 
 interface StartedDaemon {
-  readonly guide: RolloutGuide;
+  readonly guide: RolloutTracker;
 }
 
 interface StartDaemonOptions {
@@ -195,10 +195,10 @@
     getWriterRank: () => undefined,
     tellBadVersion: (news) => {
       const others = fleet.filter((one) => one !== daemon);
-      others[random.nextInt(Math.max(1, others.length))]?.guide.takeBadVersion(news);
+      others[random.nextInt(Math.max(1, others.length))]?.guide.receiveBadVersion(news);
     },
   }).start();
-  guide.takeOrder(ORDER, 7, givenWithinMs);
+  guide.applyOrder(ORDER, 7, givenWithinMs);
   fleet.push(daemon);
   if (canWrite) {
     row.guides.push(guide);
@@ -214,8 +214,8 @@
   workKind: 'read',
 };
 
-const recordBadAnswers = (guide: RolloutGuide): void => {
-  Array.from({ length: 5 }, () => BAD_ANSWER).forEach((answer) => guide.noteAnswer(answer));
+const recordBadAnswers = (guide: RolloutTracker): void => {
+  Array.from({ length: 5 }, () => BAD_ANSWER).forEach((answer) => guide.recordAnswer(answer));
 };
 
 // Guards against a bad version that is completed: one daemon finds it bad while the store rejects
@@ -234,7 +234,7 @@
     recordBadAnswers(judge.guide);
     clock.tick(restartAtMs - 10_000);
     const late = ['late-1', 'late-2'].map((vm) => startDaemon(row, fleet, { vm, canWrite: true }));
-    late.forEach(({ guide }) => guide.takeStatus({ ...status, state: 'running' }, 0));
+    late.forEach(({ guide }) => guide.applyStatus({ ...status, state: 'running' }, 0));
     clock.tick(8_000);
     const states = late.flatMap(({ guide }) => [...guide.rollouts].map(({ state }) => state));
     assert.equal(states, ['rolledBack', 'rolledBack']);
@@ -261,7 +261,7 @@
     getWriterRank: () => undefined,
     tellBadVersion: () => {},
   }).start();
-  guide.takeOrder(ORDER, 7, 0);
+  guide.applyOrder(ORDER, 7, 0);
   clock.tick(19_000);
   confirm();
   clock.tick(1_500);
@@ -287,8 +287,8 @@
 const GOOD_ANSWER = { ...BAD_ANSWER, isFailed: false, headMs: 20 };
 const OLD_ANSWER = { ...GOOD_ANSWER, softwareVersion: 'v1' };
 
-const noteAnswers = (guide: RolloutGuide, answer: RolloutAnswer, count: number): void => {
-  Array.from({ length: count }, () => answer).forEach((one) => guide.noteAnswer(one));
+const noteAnswers = (guide: RolloutTracker, answer: RolloutAnswer, count: number): void => {
+  Array.from({ length: count }, () => answer).forEach((one) => guide.recordAnswer(one));
 };
 
 test('a version is not completed on too few answers while its upstreams are away', ({ clock }) => {
--- a/packages/forwarding/src/rollouts/rolloutKeeper.ts
+++ b/packages/forwarding/src/rollouts/rolloutKeeper.ts
@@ -7,10 +7,10 @@
  */
 import { getErrorMessage, type Logger, type Random } from '@snipehaven/common';
 import type { Freshness } from '../configuration/freshness.js';
-import type { BadVersionNews } from '../peers/index.js';
+import type { BadVersionMessage } from '../peers/index.js';
 import type { RolloutState } from '../types.js';
 import { describeCounts } from './describeCounts.js';
-import type { RolloutGuide } from './rolloutGuide.js';
+import type { RolloutTracker } from './rolloutTracker.js';
 import type { ServiceRollout } from './serviceRollout.js';
 import type { RolloutWriter } from './types.js';
 
@@ -40,7 +40,7 @@
 }
 
 export class RolloutKeeper {
-  readonly #guide: RolloutGuide;
+  readonly #guide: RolloutTracker;
 
   readonly #writer: RolloutWriter;
 
@@ -54,7 +54,7 @@
 
   readonly #getWriterRank: () => number | undefined;
 
-  readonly #tellBadVersion: (news: BadVersionNews) => void;
+  readonly #tellBadVersion: (news: BadVersionMessage) => void;
 
   readonly #startedAtMs = performance.now();
 
@@ -68,7 +68,7 @@
   readonly #pendingEvidence = new Set<ServiceRollout>();
 
   constructor(options: {
-    guide: RolloutGuide;
+    guide: RolloutTracker;
     writer: RolloutWriter;
     vm: string;
     freshness: Freshness;
@@ -77,7 +77,7 @@
     /** Number of daemons that write before this one; undefined in a small fleet. */
     getWriterRank: () => number | undefined;
     /** Sends the verdict to one other daemon. */
-    tellBadVersion: (news: BadVersionNews) => void;
+    tellBadVersion: (news: BadVersionMessage) => void;
   }) {
     this.#guide = options.guide;
     this.#writer = options.writer;
--- a/packages/forwarding/src/rollouts/rolloutGuide.test.ts
+++ b/packages/forwarding/src/rollouts/rolloutTracker.test.ts
@@ -5,7 +5,7 @@
 import { Freshness } from '../configuration/freshness.js';
 import { StoreClock, readClocks } from '../configuration/storeClock.js';
 import type { RequestOptions, RolloutOrder } from '../types.js';
-import { RolloutGuide } from './rolloutGuide.js';
+import { RolloutTracker } from './rolloutTracker.js';
 import { createEntry } from './testSupport/simulatedDaemon.js';
 import type { RolloutStatus } from './types.js';
 
@@ -27,10 +27,10 @@
   beforeStoreMs: 0,
 });
 
-const createGuide = (): RolloutGuide => {
+const createGuide = (): RolloutTracker => {
   const freshness = new Freshness();
   freshness.confirm({ asked: readClocks(), serverTimeMs: 0 });
-  return new RolloutGuide({
+  return new RolloutTracker({
     logger: createSilentLogger(),
     vm: 'vm',
     freshness,
@@ -52,7 +52,7 @@
   ...(session === undefined ? {} : { session }),
 });
 
-const filterIds = (guide: RolloutGuide, attemptId = 'a', session?: string): string[] =>
+const filterIds = (guide: RolloutTracker, attemptId = 'a', session?: string): string[] =>
   guide.filterUpstreams('s', createOptions(attemptId, session), [OLD, NEW]).map(({ id }) => id);
 
 // Guards against a service without upstreams after a restart: a daemon reads the status table
@@ -60,26 +60,26 @@
 // row is read only once.
 test('a status that arrives before its order is applied', () => {
   const guide = createGuide();
-  guide.takeStatus(createStatus('completed'), 9);
-  guide.takeOrder(ORDER, ORDER_VERSION, undefined);
+  guide.applyStatus(createStatus('completed'), 9);
+  guide.applyOrder(ORDER, ORDER_VERSION, undefined);
   assert.equal(filterIds(guide), ['v2']);
 });
 
 test('a status of an earlier order does not apply to this one', () => {
   const guide = createGuide();
-  guide.takeStatus(createStatus('completed', 3), 4);
-  guide.takeOrder(ORDER, ORDER_VERSION, undefined);
+  guide.applyStatus(createStatus('completed', 3), 4);
+  guide.applyOrder(ORDER, ORDER_VERSION, undefined);
   assert.equal(filterIds(guide), ['v1']);
 });
 
 test('a starting daemon does not take a finished order for a new one', () => {
   const guide = createGuide();
   assert.ok(guide.isStateKnown);
-  guide.takeOrder(ORDER, ORDER_VERSION, undefined);
+  guide.applyOrder(ORDER, ORDER_VERSION, undefined);
   assert.not(guide.isStateKnown);
   const names = Array.from({ length: 400 }, (_, index) => `name ${index}`);
   assert.ok(names.every((name) => filterIds(guide, name)[0] === 'v1'));
-  guide.takeStatus(createStatus('completed'), 9);
+  guide.applyStatus(createStatus('completed'), 9);
   guide.noteStatusesRead();
   assert.ok(guide.isStateKnown);
   assert.ok(names.every((name) => filterIds(guide, name)[0] === 'v2'));
@@ -87,15 +87,15 @@
 
 test('after a roll-back no request goes to the new version, even if no other upstream is left', () => {
   const guide = createGuide();
-  guide.takeOrder(ORDER, ORDER_VERSION, 0);
-  guide.takeStatus(createStatus('rolledBack'), 9);
+  guide.applyOrder(ORDER, ORDER_VERSION, 0);
+  guide.applyStatus(createStatus('rolledBack'), 9);
   assert.equal(filterIds(guide), ['v1']);
   assert.equal(guide.filterUpstreams('s', createOptions('a'), [NEW]), []);
 });
 
 test('in the first phase a few requests go to the new version, but no session', () => {
   const guide = createGuide();
-  guide.takeOrder(ORDER, ORDER_VERSION, 0);
+  guide.applyOrder(ORDER, ORDER_VERSION, 0);
   const names = Array.from({ length: 400 }, (_, index) => `name ${index}`);
   const share = names.filter((name) => filterIds(guide, name)[0] === 'v2').length / names.length;
   assert.ok(share > 0.02 && share < 0.12, String(share));
--- a/packages/forwarding/src/rollouts/rolloutGuide.ts
+++ b/packages/forwarding/src/rollouts/rolloutTracker.ts
@@ -5,7 +5,7 @@
 import type { Logger } from '@snipehaven/common';
 import type { Freshness } from '../configuration/freshness.js';
 import type { StoreClock } from '../configuration/storeClock.js';
-import type { BadVersionNews, RolloutCounts, ServiceRolloutCounts } from '../peers/index.js';
+import type { BadVersionMessage, RolloutCounts, ServiceRolloutCounts } from '../peers/index.js';
 import type { RequestOptions, RolloutOrder } from '../types.js';
 import type { UpstreamEntry } from '../upstreams/index.js';
 import { describeCounts } from './describeCounts.js';
@@ -32,7 +32,7 @@
   readonly rowVersion: number;
 }
 
-export interface RolloutGuideOptions {
+export interface RolloutTrackerOptions {
   readonly logger: Logger;
   readonly vm: string;
   readonly freshness: Freshness;
@@ -50,7 +50,7 @@
   hasEvacuatedUpstreams(service: string, softwareVersion: string): boolean;
 }
 
-export class RolloutGuide {
+export class RolloutTracker {
   readonly #logger: Logger;
 
   readonly #vm: string;
@@ -80,13 +80,13 @@
 
   readonly #allowedExposure: number;
 
-  readonly #findPeerCounts: RolloutGuideOptions['findPeerCounts'];
+  readonly #findPeerCounts: RolloutTrackerOptions['findPeerCounts'];
 
-  readonly #countUpstreams: RolloutGuideOptions['countUpstreams'];
+  readonly #countUpstreams: RolloutTrackerOptions['countUpstreams'];
 
-  readonly #hasEvacuatedUpstreams: RolloutGuideOptions['hasEvacuatedUpstreams'];
+  readonly #hasEvacuatedUpstreams: RolloutTrackerOptions['hasEvacuatedUpstreams'];
 
-  constructor(options: RolloutGuideOptions) {
+  constructor(options: RolloutTrackerOptions) {
     this.#logger = options.logger;
     this.#vm = options.vm;
     this.#freshness = options.freshness;
@@ -127,7 +127,7 @@
   }
 
   /** `givenWithinMs`: upper bound of the order's age; undefined if this daemon cannot know it. */
-  takeOrder(order: RolloutOrder, orderVersion: number, givenWithinMs: number | undefined): void {
+  applyOrder(order: RolloutOrder, orderVersion: number, givenWithinMs: number | undefined): void {
     const known = this.#rollouts.get(order.service);
     if (known?.orderVersion === orderVersion) {
       return;
@@ -142,7 +142,7 @@
       countUpstreams: () => this.#countUpstreams(order.service, order.toVersion),
     });
     this.#rollouts.set(order.service, rollout);
-    this.#applyStatus(order.service);
+    this.#updateRollout(order.service);
     this.#onOrder();
     this.#logger.info(
       { event: 'rolloutOrdered', ...order, orderVersion, givenWithinMs },
@@ -154,9 +154,9 @@
     this.#rollouts.delete(service);
   }
 
-  takeStatus(status: RolloutStatus, rowVersion: number): void {
+  applyStatus(status: RolloutStatus, rowVersion: number): void {
     this.#statuses.set(status.service, { status, rowVersion });
-    this.#applyStatus(status.service);
+    this.#updateRollout(status.service);
   }
 
   /** Called after all statuses in the store have been applied. */
@@ -164,7 +164,7 @@
     this.#hasReadStatuses = true;
   }
 
-  takeEvidence(evidence: RolloutEvidence): void {
+  addEvidence(evidence: RolloutEvidence): void {
     if (evidence.vm !== this.#vm) {
       const rollout = this.#rollouts.get(evidence.service);
       rollout?.takeEvidence(evidence);
@@ -176,7 +176,7 @@
    * Applies the verdict of another daemon that an order's version is bad; that daemon may not reach
    * the store to write it.
    */
-  takeBadVersion({ service, orderVersion }: BadVersionNews): void {
+  receiveBadVersion({ service, orderVersion }: BadVersionMessage): void {
     const rollout = this.#rollouts.get(service);
     if (rollout?.orderVersion === orderVersion && rollout.rollBack()) {
       this.#logState(rollout, 'daemon');
@@ -202,7 +202,7 @@
   }
 
   /** Counts an answer if a roll-out is running. */
-  noteAnswer(answer: RolloutAnswer): void {
+  recordAnswer(answer: RolloutAnswer): void {
     const rollout = this.#rollouts.get(answer.service);
     if (rollout?.state !== 'running') {
       return;
@@ -326,7 +326,7 @@
     };
   }
 
-  #applyStatus(service: string): void {
+  #updateRollout(service: string): void {
     const rollout = this.#rollouts.get(service);
     const known = this.#statuses.get(service);
     if (rollout === undefined || known === undefined) {
--- a/packages/forwarding/src/rollouts/serviceRollout.ts
+++ b/packages/forwarding/src/rollouts/serviceRollout.ts
@@ -3,11 +3,11 @@
   NO_ANSWERS,
   ROLLOUT_NOT_BEGUN,
   addVersionCounts,
-  getRolloutPlace,
+  getRolloutPosition,
   isVersionBad,
   isVersionProvenAcrossDataCentres,
   type RolloutElapsed,
-  type RolloutPlace,
+  type RolloutPosition,
 } from '@snipehaven/policy';
 import type { StoreClock } from '../configuration/storeClock.js';
 import { NO_ROLLOUT_COUNTS, combineRolloutCounts, type RolloutCounts } from '../peers/index.js';
@@ -218,7 +218,7 @@
   /**
    * Progress of the schedule; it does not advance at a daemon that has lost contact with the store.
    */
-  getPlace(storeAgeMs: number): RolloutPlace {
+  getPlace(storeAgeMs: number): RolloutPosition {
     if (!this.#start.isKnown) {
       // Without a known start the roll-out may have been rolled back long ago.
       return ROLLOUT_NOT_BEGUN;
@@ -230,7 +230,11 @@
       atLeastMs: Math.max(this.#maxElapsed.atLeastMs, atLeastMs - blindMs),
       atMostMs: Math.max(this.#maxElapsed.atMostMs, atMostMs - blindMs),
     };
-    const place = getRolloutPlace(this.#maxElapsed, this.order.durationMs, this.#allowedExposure);
+    const place = getRolloutPosition(
+      this.#maxElapsed,
+      this.order.durationMs,
+      this.#allowedExposure,
+    );
     if (place.newShare === 1) {
       this.#fullShareSinceMs ??= performance.now();
       this.stats.startFullShare();
--- a/packages/forwarding/src/rollouts/sessionAffinity.test.ts
+++ b/packages/forwarding/src/rollouts/sessionAffinity.test.ts
@@ -7,7 +7,7 @@
 import { StoreClock, readClocks } from '../configuration/storeClock.js';
 import type { RequestOptions, RolloutOrder } from '../types.js';
 import type { UpstreamEntry } from '../upstreams/index.js';
-import { RolloutGuide } from './rolloutGuide.js';
+import { RolloutTracker } from './rolloutTracker.js';
 import { createEntry } from './testSupport/simulatedDaemon.js';
 
 const ORDER: RolloutOrder = { service: 's', toVersion: 'v2', durationMs: 20_000 };
@@ -23,9 +23,9 @@
 interface Context {
   clock: Clock;
   freshness: Freshness;
-  guide: RolloutGuide;
+  guide: RolloutTracker;
   /** Roll-out state of another daemon. */
-  other: RolloutGuide;
+  other: RolloutTracker;
   evacuatedVersions: Set<string>;
 }
 
@@ -33,8 +33,8 @@
   vm: string,
   freshness: Freshness,
   evacuatedVersions: ReadonlySet<string>,
-): RolloutGuide =>
-  new RolloutGuide({
+): RolloutTracker =>
+  new RolloutTracker({
     logger: createSilentLogger(),
     vm,
     freshness,
@@ -70,7 +70,7 @@
 
 /** Runs a request of each session and returns its version; undefined if it may go nowhere. */
 const runAll = (
-  guide: RolloutGuide,
+  guide: RolloutTracker,
   entries: UpstreamEntry[],
 ): ReadonlyMap<string, string | undefined> =>
   new Map(
@@ -97,20 +97,20 @@
 
 test('a session that began before the order does not move at once', (context) => {
   const before = runAll(context.guide, [V1]);
-  context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
+  context.guide.applyOrder(ORDER, ORDER_VERSION, 0);
   advance(context, 500);
   assert.equal(listMoved(before, runAll(context.guide, [V1, V2])), []);
 });
 
 test('a session does not move when upstreams of the new version are first listed', (context) => {
-  context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
+  context.guide.applyOrder(ORDER, ORDER_VERSION, 0);
   const before = runAll(context.guide, [V1]);
   advance(context, 1_000);
   assert.equal(listMoved(before, runAll(context.guide, [V1, V2])), []);
 });
 
 test('a session does not move when upstreams of the new version are missing for a moment', (context) => {
-  context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
+  context.guide.applyOrder(ORDER, ORDER_VERSION, 0);
   const before = runAll(context.guide, [V1, V2]);
   advance(context, 1_000);
   const without = runAll(context.guide, [V1]);
@@ -120,10 +120,10 @@
 });
 
 test('a session on the version of the last order does not move to that of the next at once', (context) => {
-  context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
+  context.guide.applyOrder(ORDER, ORDER_VERSION, 0);
   advance(context, ORDER.durationMs * 0.95);
   const before = runAll(context.guide, [V1, V2]);
-  context.guide.takeOrder({ ...ORDER, toVersion: 'v3' }, ORDER_VERSION + 1, 0);
+  context.guide.applyOrder({ ...ORDER, toVersion: 'v3' }, ORDER_VERSION + 1, 0);
   advance(context, 500);
   assert.equal(listMoved(before, runAll(context.guide, [V2, V3])), []);
 });
@@ -131,21 +131,21 @@
 test('a new order moves no session to a leftover upstream of the version before last', (context) => {
   const status = { service: 's', toVersion: 'v2', afterStoreMs: 0, beforeStoreMs: 0 };
   const completed = { ...status, state: 'completed' as const, orderVersion: ORDER_VERSION };
-  context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
-  context.guide.takeStatus(completed, 9);
+  context.guide.applyOrder(ORDER, ORDER_VERSION, 0);
+  context.guide.applyStatus(completed, 9);
   const before = runAll(context.guide, [V1, V2]);
   const next = { ...ORDER, toVersion: 'v3' };
-  context.guide.takeOrder(next, ORDER_VERSION + 1, 0);
+  context.guide.applyOrder(next, ORDER_VERSION + 1, 0);
   assert.equal(listMoved(before, runAll(context.guide, [V1, V2, V3])), []);
-  context.other.takeOrder(next, ORDER_VERSION + 1, undefined);
+  context.other.applyOrder(next, ORDER_VERSION + 1, undefined);
   const running = { ...status, toVersion: 'v3', state: 'running' as const, fromVersion: 'v2' };
-  context.other.takeStatus({ ...running, orderVersion: ORDER_VERSION + 1 }, 10);
+  context.other.applyStatus({ ...running, orderVersion: ORDER_VERSION + 1 }, 10);
   assert.equal(listMoved(before, runAll(context.other, [V1, V2, V3])), []);
 });
 
 test('sessions do not move in the first half when the order was learned late', (context) => {
   const learnedLateMs = 6_000;
-  context.guide.takeOrder(ORDER, ORDER_VERSION, learnedLateMs);
+  context.guide.applyOrder(ORDER, ORDER_VERSION, learnedLateMs);
   const first = runAll(context.guide, [V1, V2]);
   for (let passedMs = 0; passedMs < HALF_MS - 2_000; passedMs += 2_000) {
     advance(context, 2_000);
@@ -154,7 +154,7 @@
 });
 
 test('sessions do not return to the old version while the upstreams of the new one are evacuated', (context) => {
-  context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
+  context.guide.applyOrder(ORDER, ORDER_VERSION, 0);
   advance(context, ORDER.durationMs * 0.7);
   const before = runAll(context.guide, [V1, V2]);
   context.evacuatedVersions.add('v2');
@@ -169,7 +169,7 @@
 });
 
 test('requests of expired sessions run on the old version while the upstreams of the new one are evacuated', (context) => {
-  context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
+  context.guide.applyOrder(ORDER, ORDER_VERSION, 0);
   advance(context, ORDER.durationMs * 0.7);
   runAll(context.guide, [V1, V2]);
   context.evacuatedVersions.add('v2');
@@ -179,8 +179,8 @@
 });
 
 test('a jump of the wall clock moves no session back', (context) => {
-  context.guide.takeOrder(ORDER, ORDER_VERSION, 0);
-  context.other.takeOrder(ORDER, ORDER_VERSION, 0);
+  context.guide.applyOrder(ORDER, ORDER_VERSION, 0);
+  context.other.applyOrder(ORDER, ORDER_VERSION, 0);
   advance(context, ORDER.durationMs * 0.7);
   const before = runAll(context.guide, [V1, V2]);
   runAll(context.other, [V1, V2]);
--- a/packages/forwarding/src/rollouts/testSupport/simulatedDaemon.ts
+++ b/packages/forwarding/src/rollouts/testSupport/simulatedDaemon.ts
@@ -8,7 +8,7 @@
 import { PeerLoads } from '../../peers/index.js';
 import type { RolloutOrder } from '../../types.js';
 import { UpstreamEntry } from '../../upstreams/index.js';
-import { RolloutGuide } from '../rolloutGuide.js';
+import { RolloutTracker } from '../rolloutTracker.js';
 import type { RolloutStatus } from '../types.js';
 
 export const SESSION_TTL_MS = 5_000;
@@ -36,7 +36,7 @@
 export class SimulatedDaemon {
   readonly #vm: string;
 
-  #guide: RolloutGuide;
+  #guide: RolloutTracker;
 
   #freshness = new Freshness();
 
@@ -47,7 +47,7 @@
     this.#guide = this.#start();
   }
 
-  get guide(): RolloutGuide {
+  get guide(): RolloutTracker {
     return this.#guide;
   }
 
@@ -68,12 +68,12 @@
   }
 
   learnOrder(order: RolloutOrder, orderVersion: number, givenWithinMs: number | undefined): void {
-    this.#guide.takeOrder(order, orderVersion, givenWithinMs);
+    this.#guide.applyOrder(order, orderVersion, givenWithinMs);
   }
 
   learnStatus(status: RolloutStatus | undefined, rowVersion: number): void {
     if (status !== undefined) {
-      this.#guide.takeStatus(status, rowVersion);
+      this.#guide.applyStatus(status, rowVersion);
     }
     this.#guide.noteStatusesRead();
   }
@@ -95,10 +95,10 @@
     return softwareVersion;
   }
 
-  #start(): RolloutGuide {
+  #start(): RolloutTracker {
     this.#freshness = new Freshness();
     this.#clock = new StoreClock();
-    const guide = new RolloutGuide({
+    const guide = new RolloutTracker({
       logger: createSilentLogger(),
       vm: this.#vm,
       freshness: this.#freshness,
--- a/packages/forwarding/src/runs/attempt.ts
+++ b/packages/forwarding/src/runs/attempt.ts
@@ -15,7 +15,7 @@
 import type { ForwardRoute, UpstreamHeaderValues } from '../types.js';
 import type {
   ExitVerdict,
-  SentRequest,
+  InFlightRequest,
   UpstreamEntry,
   UpstreamOutcome,
 } from '../upstreams/index.js';
@@ -56,7 +56,7 @@
     ? targetLatencyMs * STREAM_START_TARGETS
     : Math.max(MIN_SILENCE_MS, targetLatencyMs * SILENCE_TARGETS);
 
-export class Attempt implements SentRequest {
+export class Attempt implements InFlightRequest {
   readonly #dependencies: ForwardDependencies;
 
   readonly #request: CallerRequest;
@@ -239,7 +239,7 @@
     const tookMs = performance.now() - this.#startedAtMs;
     this.#headMs = tookMs;
     if (!head.facts.isNotRun && !isResumed) {
-      this.#dependencies.getWorkPace(service).note(workAhead, tookMs);
+      this.#dependencies.getWorkPace(service).recordAnswer(workAhead, tookMs);
     }
     if (this.#isLoadCounted) {
       this.#plan.entry.reduceWork(this.#plan.startWork);
--- a/packages/forwarding/src/runs/dependencies.ts
+++ b/packages/forwarding/src/runs/dependencies.ts
@@ -2,21 +2,21 @@
 import type { Logger, Random } from '@snipehaven/common';
 import type { ModelDemand, RepeatBudget, WorkPace } from '@snipehaven/policy';
 import type { ConfigurationHolder } from '../configuration/configurationHolder.js';
-import type { CrashBook } from '../crashes/index.js';
+import type { CrashTracker } from '../crashes/index.js';
 import type { ForwardMetrics } from '../edge/forwardMetrics.js';
-import type { RolloutGuide } from '../rollouts/rolloutGuide.js';
+import type { RolloutTracker } from '../rollouts/rolloutTracker.js';
 import type { HeaderDialect } from '../types.js';
-import type { ColdGate, UpstreamDirectory } from '../upstreams/index.js';
+import type { ColdRateLimiter, UpstreamDirectory } from '../upstreams/index.js';
 
 export interface ForwardDependencies {
   readonly configuration: ConfigurationHolder;
   readonly directory: UpstreamDirectory;
   /** Limits the request rate to cold upstreams. */
-  readonly coldGate: ColdGate;
+  readonly coldGate: ColdRateLimiter;
   readonly dialect: HeaderDialect;
-  readonly rollouts: RolloutGuide;
+  readonly rollouts: RolloutTracker;
   /** Upstreams whose process exited, and requests held back as the suspected cause. */
-  readonly crashes: CrashBook;
+  readonly crashes: CrashTracker;
   readonly metrics: ForwardMetrics;
   readonly logger: Logger;
   readonly random: Random;
--- a/packages/forwarding/src/runs/describePlacement.ts
+++ b/packages/forwarding/src/runs/describePlacement.ts
@@ -1,12 +1,12 @@
 /** Log fields of a placement: the upstream chosen and the state on which the choice was based. */
 import type { ForwardDependencies } from './dependencies.js';
-import type { Placement } from './findPlacement.js';
+import type { RequestPlacement } from './findPlacement.js';
 import type { PlacementQuery } from './placementQuery.js';
 import { roundMs } from './responseTiming.js';
 
 export const describePlacement = (
   { configuration, getWorkPace, rollouts }: ForwardDependencies,
-  { entry, startWork, workAhead }: Placement,
+  { entry, startWork, workAhead }: RequestPlacement,
   { service, options, model }: PlacementQuery,
 ) => {
   const lastRun = rollouts.findSessionRun(service, options);
--- a/packages/forwarding/src/runs/findPlacement.ts
+++ b/packages/forwarding/src/runs/findPlacement.ts
@@ -1,6 +1,10 @@
 /** Chooses the upstream for a request from the entries of the directory. */
 import type { RequestDigest } from '@snipehaven/common';
-import { choosePlace, chooseSuspectPlace, type PlaceCandidate } from '@snipehaven/policy';
+import {
+  choosePlacement,
+  chooseSuspectUpstream,
+  type PlacementCandidate,
+} from '@snipehaven/policy';
 import type { UpstreamEntry } from '../upstreams/index.js';
 import type { ForwardDependencies } from './dependencies.js';
 import { estimateWork } from './estimateWork.js';
@@ -12,7 +16,7 @@
   getPlainPlacementCosts,
 } from './placementCosts.js';
 
-export interface Placement {
+export interface RequestPlacement {
   readonly entry: UpstreamEntry;
   /** Work until the answer begins; `runWork` from then to its end. See `Work`. */
   readonly startWork: number;
@@ -27,7 +31,7 @@
   entry: UpstreamEntry,
   remotePenalty: number,
   nowMs: number,
-): PlaceCandidate => ({
+): PlacementCandidate => ({
   id: entry.id,
   dataCentre: entry.upstream.dataCentre,
   remotePenalty,
@@ -54,7 +58,7 @@
   nowMs: number,
 ): UpstreamEntry | undefined => {
   const sound = entries.filter((entry) => !entry.isSuspect(nowMs));
-  const chosen = chooseSuspectPlace(
+  const chosen = chooseSuspectUpstream(
     digest,
     sound.map(({ lifeId }) => lifeId),
   );
@@ -64,7 +68,7 @@
 export const findPlacement = (
   dependencies: ForwardDependencies,
   query: PlacementQuery,
-): Placement | undefined => {
+): RequestPlacement | undefined => {
   const { directory, random, configuration } = dependencies;
   const { service, route, options, model } = query;
   const nowMs = performance.now();
@@ -77,7 +81,7 @@
   const { getRemotePenalty, ...surroundings } = isEngine
     ? getEnginePlacementCosts(dependencies, query, { entries, meanBacklog })
     : getPlainPlacementCosts(dependencies);
-  const choice = choosePlace({
+  const choice = choosePlacement({
     candidates: entries.map((entry) => toCandidate(entry, getRemotePenalty(entry), nowMs)),
     sharedWork: work.shared,
     ownWork: work.own,
--- a/packages/forwarding/src/runs/forwardRun.ts
+++ b/packages/forwarding/src/runs/forwardRun.ts
@@ -17,7 +17,7 @@
 import type { CallerRequest } from './callerRequest.js';
 import { describePlacement } from './describePlacement.js';
 import { findLargerModel, type LargerModel } from './findLargerModel.js';
-import { findPlacement, type Placement } from './findPlacement.js';
+import { findPlacement, type RequestPlacement } from './findPlacement.js';
 import { findSessionExpiryWait, findWarmUpWait } from './listCandidates.js';
 import { toReasonAfterRun } from './refusals.js';
 import type { PlacementQuery } from './placementQuery.js';
@@ -342,7 +342,7 @@
    */
   #reportSuccess(): void {
     if (isSuccess(this.#status ?? 0)) {
-      this.#dependencies.crashes.noteAnswered(this.digest);
+      this.#dependencies.crashes.recordSuccess(this.digest);
     }
   }
 
@@ -406,9 +406,9 @@
     this.#concludeFailure(reason, Math.max(MIN_RETRY_AFTER_S, waitMs / MS_PER_S));
   }
 
-  #recordDemand(service: string, { startWork, runWork }: Placement): void {
+  #recordDemand(service: string, { startWork, runWork }: RequestPlacement): void {
     if (this.#model !== undefined) {
-      this.#dependencies.getModelDemand(service).note(this.#model, startWork + runWork);
+      this.#dependencies.getModelDemand(service).recordWork(this.#model, startWork + runWork);
     }
   }
 
--- a/packages/forwarding/src/runs/placementCosts.ts
+++ b/packages/forwarding/src/runs/placementCosts.ts
@@ -1,5 +1,5 @@
 /** Costs of the location and load of a service's upstreams, for choosing among them. */
-import { getLeaveMs, type Lane, type WorkPace } from '@snipehaven/policy';
+import { getLeaveMs, type ModelPartition, type WorkPace } from '@snipehaven/policy';
 import type { ForwardRoute } from '../types.js';
 import type { UpstreamEntry } from '../upstreams/index.js';
 import type { ForwardDependencies } from './dependencies.js';
@@ -77,7 +77,7 @@
 export interface PlacementCosts {
   readonly getRemotePenalty: GetRemotePenalty;
   readonly leavePenalty: number;
-  readonly lane?: Lane;
+  readonly lane?: ModelPartition;
 }
 
 /** Candidate upstreams and their mean backlog. */
@@ -98,7 +98,7 @@
   const pace = dependencies.getWorkPace(service);
   const meanWaitMs = pace.estimateMs(meanBacklog);
   const demand = dependencies.getModelDemand(service);
-  const lane = model === undefined ? undefined : demand.findLane(route.models, model);
+  const lane = model === undefined ? undefined : demand.findPartition(route.models, model);
   return {
     getRemotePenalty: createEnginePenalty(dependencies, pace, entries),
     leavePenalty: pace.estimateWork(getLeaveMs(meanWaitMs)),
--- a/packages/forwarding/src/runs/versionReporter.test.ts
+++ b/packages/forwarding/src/runs/versionReporter.test.ts
@@ -6,7 +6,7 @@
 import { Freshness } from '../configuration/freshness.js';
 import { StoreClock, readClocks } from '../configuration/storeClock.js';
 import { PeerLoads } from '../peers/index.js';
-import { RolloutGuide } from '../rollouts/index.js';
+import { RolloutTracker } from '../rollouts/index.js';
 import { UpstreamEntry } from '../upstreams/index.js';
 import type { CallerRequest } from './callerRequest.js';
 import type { ForwardDependencies } from './dependencies.js';
@@ -14,7 +14,7 @@
 
 interface Context {
   clock: Clock;
-  guide: RolloutGuide;
+  guide: RolloutTracker;
 }
 
 const EVENTS = 30;
@@ -28,7 +28,7 @@
   context.clock = FakeTimers.install({ now: 1_700_000_000_000 });
   const freshness = new Freshness();
   freshness.confirm({ asked: readClocks(), serverTimeMs: 0 });
-  context.guide = new RolloutGuide({
+  context.guide = new RolloutTracker({
     logger: createSilentLogger(),
     vm: 'vm',
     freshness,
@@ -40,12 +40,12 @@
     countUpstreams: () => new Map([['a', 1]]),
     hasEvacuatedUpstreams: () => false,
   });
-  context.guide.takeOrder(ORDER, 7, 0);
+  context.guide.applyOrder(ORDER, 7, 0);
 });
 
 test.after.each(({ clock }) => clock.uninstall());
 
-const createReporter = (guide: RolloutGuide, softwareVersion: string): VersionReporter => {
+const createReporter = (guide: RolloutTracker, softwareVersion: string): VersionReporter => {
   const place = { id: softwareVersion, service: 's', host: '127.0.0.1', port: 1, dataCentre: 'a' };
   const upstream = { ...place, softwareVersion, slots: 4, state: 'ready' as const };
   const entry = new UpstreamEntry(upstream, new PeerLoads());
--- a/packages/forwarding/src/runs/versionReporter.ts
+++ b/packages/forwarding/src/runs/versionReporter.ts
@@ -115,7 +115,7 @@
    */
   reportOutcome(outcome: UpstreamOutcome): void {
     if (outcome === 'failed') {
-      this.#dependencies.rollouts.noteAnswer({ ...this.#work, isFailed: true });
+      this.#dependencies.rollouts.recordAnswer({ ...this.#work, isFailed: true });
     }
     if (outcome === 'answered' && !this.#isReportedSlow) {
       this.#reportHeadTime();
@@ -151,6 +151,6 @@
   #reportHeadTime(): void {
     const headMs = performance.now() - this.#sentAtMs;
     this.#isReportedSlow ||= headMs > this.#slowMs;
-    this.#dependencies.rollouts.noteAnswer({ ...this.#work, isFailed: false, headMs });
+    this.#dependencies.rollouts.recordAnswer({ ...this.#work, isFailed: false, headMs });
   }
 }
--- a/packages/forwarding/src/types.ts
+++ b/packages/forwarding/src/types.ts
@@ -145,7 +145,7 @@
 }
 
 /** Metadata from an upstream's answer headers. */
-export interface AnswerFacts {
+export interface AnswerMetadata {
   /** The attempt that the answer belongs to, as echoed by the upstream. */
   readonly attemptId?: string;
   /** The upstream states that it did not run the request. */
@@ -177,7 +177,7 @@
     headers: HeaderMap,
     values: UpstreamHeaderValues,
   ): Record<string, string | string[]>;
-  readAnswer(status: number, headers: HeaderMap): AnswerFacts;
+  readAnswer(status: number, headers: HeaderMap): AnswerMetadata;
   /** The answer's end-to-end headers as sent to the caller. */
   buildCallerHeaders(headers: HeaderMap): Record<string, string | string[]>;
 }
--- a/packages/forwarding/src/upstreams/coldGate.ts
+++ b/packages/forwarding/src/upstreams/coldRateLimiter.ts
@@ -16,12 +16,12 @@
    * Whether this daemon has had time to hear from the others; before that it would claim the whole
    * rate for itself.
    */
-  readonly isAcquainted: boolean;
+  readonly hasDiscoveredPeers: boolean;
   /** Rank of this daemon in the order derived from the key: the number of daemons before it. */
   countBefore(key: string): number;
 }
 
-export class ColdGate {
+export class ColdRateLimiter {
   readonly #fleet: FleetMembership;
 
   constructor(fleet: FleetMembership) {
@@ -49,7 +49,7 @@
   }
 
   #getShare({ lifeId }: UpstreamEntry, { requestsPerS }: WarmUpFacts): number {
-    const { daemons, isAcquainted } = this.#fleet;
+    const { daemons, hasDiscoveredPeers: isAcquainted } = this.#fleet;
     return isAcquainted
       ? getColdShare({ ratePerS: requestsPerS, daemons, rank: this.#fleet.countBefore(lifeId) })
       : 0;
--- a/packages/forwarding/src/upstreams/exitDetector.test.ts
+++ b/packages/forwarding/src/upstreams/exitDetector.test.ts
@@ -3,11 +3,11 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { ProbeOutcome } from '../exchange/index.js';
-import { ExitDetector, type SentRequest } from './exitDetector.js';
+import { ExitDetector, type InFlightRequest } from './exitDetector.js';
 
 const test = suite('exit detector');
 
-const send = (attemptId: string): SentRequest => ({
+const send = (attemptId: string): InFlightRequest => ({
   attemptId,
   digest: asId<RequestDigest>(`digest-of-${attemptId}`),
   sentAtMs: 0,
@@ -24,7 +24,7 @@
       probes += 1;
       return Promise.resolve(outcome);
     },
-    onEnd: (lost) => ends.push(lost.map(({ attemptId }) => attemptId).sort()),
+    onExit: (lost) => ends.push(lost.map(({ attemptId }) => attemptId).sort()),
     onAlive: () => {
       revivals += 1;
     },
@@ -65,7 +65,7 @@
   const ends: number[] = [];
   const detector = new ExitDetector({
     probe: () => Promise.resolve(outcomes.shift() ?? 'silent'),
-    onEnd: (lost) => ends.push(lost.length),
+    onExit: (lost) => ends.push(lost.length),
     onAlive: () => {},
   });
   assert.is(await detector.onConnectionLost(send('a')), 'listening');
--- a/packages/forwarding/src/upstreams/exitDetector.ts
+++ b/packages/forwarding/src/upstreams/exitDetector.ts
@@ -7,7 +7,7 @@
 import type { ProbeOutcome } from '../exchange/index.js';
 
 /** A request of this daemon that is in flight at an upstream. */
-export interface SentRequest {
+export interface InFlightRequest {
   readonly attemptId: string;
   readonly digest: RequestDigest;
   readonly sentAtMs: number;
@@ -29,7 +29,7 @@
 export interface ExitDetectorOptions {
   probe(): Promise<ProbeOutcome>;
   /** Called once per exit, with all requests that were in flight at the upstream. */
-  onEnd(lost: readonly SentRequest[]): void;
+  onExit(lost: readonly InFlightRequest[]): void;
   /** Called when an upstream reported as exited turns out to be alive. */
   onAlive(): void;
 }
@@ -37,9 +37,9 @@
 export class ExitDetector {
   readonly #options: ExitDetectorOptions;
 
-  readonly #inFlight = new Set<SentRequest>();
+  readonly #inFlight = new Set<InFlightRequest>();
 
-  #lost: SentRequest[] = [];
+  #lost: InFlightRequest[] = [];
 
   #pendingProbe: Promise<ExitVerdict> | undefined;
 
@@ -54,7 +54,7 @@
     return this.#exitedAtMs;
   }
 
-  get inFlight(): Iterable<SentRequest> {
+  get inFlight(): Iterable<InFlightRequest> {
     return this.#inFlight;
   }
 
@@ -62,18 +62,18 @@
    * Called when the upstream starts to respond. A response to a request sent after the presumed
    * exit proves that the process is alive.
    */
-  onResponseStarted({ sentAtMs }: SentRequest): void {
+  onResponseStarted({ sentAtMs }: InFlightRequest): void {
     if (this.#exitedAtMs !== undefined && sentAtMs > this.#exitedAtMs) {
       this.#exitedAtMs = undefined;
       this.#options.onAlive();
     }
   }
 
-  addRequest(request: SentRequest): void {
+  addRequest(request: InFlightRequest): void {
     this.#inFlight.add(request);
   }
 
-  removeRequest(request: SentRequest): void {
+  removeRequest(request: InFlightRequest): void {
     this.#inFlight.delete(request);
   }
 
@@ -81,7 +81,7 @@
    * Called when the request's connection closed before the response was complete. Resolves with the
    * result of the probe.
    */
-  onConnectionLost(request: SentRequest): Promise<ExitVerdict> {
+  onConnectionLost(request: InFlightRequest): Promise<ExitVerdict> {
     if (this.#exitedAtMs !== undefined) {
       return Promise.resolve('ended');
     }
@@ -97,7 +97,7 @@
     this.#lost = [];
     if (verdict === 'ended') {
       this.#exitedAtMs = performance.now();
-      this.#options.onEnd(lost);
+      this.#options.onExit(lost);
     }
     return verdict;
   }
--- a/packages/forwarding/src/upstreams/index.ts
+++ b/packages/forwarding/src/upstreams/index.ts
@@ -1,9 +1,9 @@
-export { ColdGate, type FleetMembership } from './coldGate.js';
-export type { ExitVerdict, SentRequest } from './exitDetector.js';
+export { ColdRateLimiter, type FleetMembership } from './coldRateLimiter.js';
+export type { ExitVerdict, InFlightRequest } from './exitDetector.js';
 export { UpstreamDirectory } from './upstreamDirectory.js';
 export {
   UpstreamEntry,
   type ExitListener,
-  type UpstreamEnd,
+  type UpstreamExit,
   type UpstreamOutcome,
 } from './upstreamEntry.js';
--- a/packages/forwarding/src/upstreams/upstreamDirectory.test.ts
+++ b/packages/forwarding/src/upstreams/upstreamDirectory.test.ts
@@ -41,7 +41,7 @@
     members: 0,
     learned: { paces: [], demands: [], rollouts: [] },
   };
-  loads.take({ ...stamp, loads: reported }, 0);
+  loads.receive({ ...stamp, loads: reported }, 0);
   assert.is(before?.requests, 4);
   directory.put({ ...UPSTREAM, bornAtMs: 2_000, softwareVersion: 'v2' });
   const after = directory.find('u-1');
--- a/packages/forwarding/src/upstreams/upstreamDirectory.ts
+++ b/packages/forwarding/src/upstreams/upstreamDirectory.ts
@@ -3,8 +3,8 @@
 import type { PeerLoads } from '../peers/index.js';
 import type { Upstream } from '../types.js';
 import { DataCentreMonitor } from './dataCentreMonitor.js';
-import type { SentRequest } from './exitDetector.js';
-import { UpstreamEntry, type ExitListener, type UpstreamEnd } from './upstreamEntry.js';
+import type { InFlightRequest } from './exitDetector.js';
+import { UpstreamEntry, type ExitListener, type UpstreamExit } from './upstreamEntry.js';
 
 /**
  * While the store is away, entries may expire though their upstreams are alive; they come back
@@ -25,7 +25,7 @@
 const MAX_LOGGED_REQUESTS = 40;
 
 const describeRequest = (
-  { attemptId, digest, sentAtMs, beganAtMs }: SentRequest,
+  { attemptId, digest, sentAtMs, beganAtMs }: InFlightRequest,
   nowMs: number,
 ) => ({
   request: attemptId,
@@ -53,7 +53,7 @@
 
   readonly #peerLoads: PeerLoads;
 
-  #exitListener: ExitListener = { onEnd: () => {}, onAlive: () => {} };
+  #exitListener: ExitListener = { onExit: () => {}, onAlive: () => {} };
 
   /** Time in ms for which upstreams of a service stay cold after their start. */
   readonly #getWarmUpMs: (service: string) => number;
@@ -72,7 +72,7 @@
    * Registers the listener for exits of upstreams, and for exits that turn out not to have
    * happened.
    */
-  watchEnds(listener: ExitListener): void {
+  watchExits(listener: ExitListener): void {
     this.#exitListener = listener;
   }
 
@@ -171,7 +171,7 @@
     return this.#entries.get(id);
   }
 
-  findLife(lifeId: string): UpstreamEntry | undefined {
+  findIncarnation(lifeId: string): UpstreamEntry | undefined {
     return [...this.#entries.values()].find((entry) => entry.lifeId === lifeId);
   }
 
@@ -251,7 +251,7 @@
 
   #createEntry(upstream: Upstream): UpstreamEntry {
     return new UpstreamEntry(upstream, this.#peerLoads, this.#dataCentreMonitor, {
-      onEnd: (end) => this.#onExit(end),
+      onExit: (end) => this.#onExit(end),
       onAlive: (lifeId) => this.#exitListener.onAlive(lifeId),
     });
   }
@@ -270,7 +270,7 @@
     }
   }
 
-  #onExit(end: UpstreamEnd): void {
+  #onExit(end: UpstreamExit): void {
     const nowMs = performance.now();
     const { upstream, lifeId, isExpected, lost } = end;
     this.#logger.info(
@@ -286,7 +286,7 @@
       },
       'upstream process exited with requests of this daemon in flight',
     );
-    this.#exitListener.onEnd(end);
+    this.#exitListener.onExit(end);
   }
 
   /**
--- a/packages/forwarding/src/upstreams/upstreamEntry.ts
+++ b/packages/forwarding/src/upstreams/upstreamEntry.ts
@@ -4,7 +4,7 @@
 import type { Upstream } from '../types.js';
 import { ColdState } from './coldState.js';
 import { DataCentreMonitor } from './dataCentreMonitor.js';
-import { ExitDetector, type SentRequest } from './exitDetector.js';
+import { ExitDetector, type InFlightRequest } from './exitDetector.js';
 
 /** Weight of the newest outcome in the failure share; about the last ten outcomes dominate. */
 const FAILURE_SMOOTHING = 0.12;
@@ -19,16 +19,16 @@
 export type UpstreamOutcome = 'answered' | 'failed' | 'refused' | 'unreachable';
 
 /** An exit of an upstream's process, with the requests of this daemon that were lost. */
-export interface UpstreamEnd {
+export interface UpstreamExit {
   readonly upstream: Upstream;
   readonly lifeId: string;
   /** True if the upstream list had announced that it leaves, or no longer named it. */
   readonly isExpected: boolean;
-  readonly lost: readonly SentRequest[];
+  readonly lost: readonly InFlightRequest[];
 }
 
 export interface ExitListener {
-  onEnd(end: UpstreamEnd): void;
+  onExit(end: UpstreamExit): void;
   /** Called when an incarnation reported as exited responds again. */
   onAlive(lifeId: string): void;
 }
@@ -66,7 +66,7 @@
     upstream: Upstream,
     peerLoads: PeerLoads,
     watch: DataCentreMonitor = new DataCentreMonitor(),
-    listener: ExitListener = { onEnd: () => {}, onAlive: () => {} },
+    listener: ExitListener = { onExit: () => {}, onAlive: () => {} },
   ) {
     this.#upstream = upstream;
     this.#peerLoads = peerLoads;
@@ -74,9 +74,9 @@
     this.pool = new ConnectionPool(upstream.host, upstream.port);
     this.exitDetector = new ExitDetector({
       probe: () => this.pool.probe(),
-      onEnd: (lost) => {
+      onExit: (lost) => {
         this.#suspectUntilMs = performance.now() + MAX_SUSPICION_MS;
-        listener.onEnd(this.#describeExit(lost));
+        listener.onExit(this.#describeExit(lost));
       },
       onAlive: () => listener.onAlive(this.lifeId),
     });
@@ -188,7 +188,7 @@
     }
   }
 
-  #describeExit(lost: readonly SentRequest[]): UpstreamEnd {
+  #describeExit(lost: readonly InFlightRequest[]): UpstreamExit {
     const isExpected = !this.#isListed || this.#isDoubtful || this.#upstream.state !== 'ready';
     return { upstream: this.#upstream, lifeId: this.lifeId, isExpected, lost };
   }
--- a/packages/policy/src/crashes/crashLedger.test.ts
+++ b/packages/policy/src/crashes/crashCounter.test.ts
@@ -3,8 +3,8 @@
 import fc from 'fast-check';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { CrashLedger, CRASH_EXPIRY_MS, judgeSuspicion } from './index.js';
-import type { EndReport, Suspicion } from './types.js';
+import { CrashCounter, CRASH_EXPIRY_MS, judgeSuspicion } from './index.js';
+import type { CrashReport, Suspicion } from './types.js';
 
 const test = suite('crash ledger');
 
@@ -17,18 +17,18 @@
   digests: readonly RequestDigest[],
   suspicion: Suspicion = 'strong',
   attemptId = `attempt at ${lifeId}`,
-): EndReport => ({
+): CrashReport => ({
   lifeId,
   suspects: digests.map((digest) => ({ digest, attemptId, suspicion })),
 });
 
 test('the third crash under a request reaches the threshold, whichever daemon reports it', () => {
-  const ledger = new CrashLedger();
-  assert.equal(ledger.note(reportEnd('u-1', [A, B]), 0), []);
-  assert.equal(ledger.note(reportEnd('u-2', [A]), 10), []);
-  assert.equal(ledger.note(reportEnd('u-2', [A]), 11), [], 'reported by another daemon');
-  assert.equal(ledger.note(reportEnd('u-3', [A, B]), 20), [A]);
-  assert.equal(ledger.listLives(A), ['u-1', 'u-2', 'u-3']);
+  const ledger = new CrashCounter();
+  assert.equal(ledger.recordReport(reportEnd('u-1', [A, B]), 0), []);
+  assert.equal(ledger.recordReport(reportEnd('u-2', [A]), 10), []);
+  assert.equal(ledger.recordReport(reportEnd('u-2', [A]), 11), [], 'reported by another daemon');
+  assert.equal(ledger.recordReport(reportEnd('u-3', [A, B]), 20), [A]);
+  assert.equal(ledger.listCrashedIncarnations(A), ['u-1', 'u-2', 'u-3']);
   assert.is(ledger.getWeight(B), 2);
 });
 
@@ -37,18 +37,18 @@
 // attempts that its route allows and its caller retries. Hence a single attempt needs a fourth
 // crash.
 test('a single attempt needs a fourth crash', () => {
-  const ledger = new CrashLedger();
+  const ledger = new CrashCounter();
   const report = (instanceId: string) => reportEnd(instanceId, [A], 'strong', 'the only attempt');
   assert.equal(
-    ['u-1', 'u-2', 'u-3'].map((instanceId) => ledger.note(report(instanceId), 0).length),
+    ['u-1', 'u-2', 'u-3'].map((instanceId) => ledger.recordReport(report(instanceId), 0).length),
     [0, 0, 0],
   );
-  assert.not(ledger.isGuilty(A));
-  assert.equal(ledger.note(report('u-4'), 0), [A]);
-  const again = new CrashLedger();
-  ['u-1', 'u-2', 'u-3'].forEach((instanceId) => again.note(report(instanceId), 0));
-  again.note(reportEnd('u-3', [A], 'strong', 'another attempt'), 0);
-  assert.ok(again.isGuilty(A), 'a second attempt was involved in the third crash too');
+  assert.not(ledger.hasReachedThreshold(A));
+  assert.equal(ledger.recordReport(report('u-4'), 0), [A]);
+  const again = new CrashCounter();
+  ['u-1', 'u-2', 'u-3'].forEach((instanceId) => again.recordReport(report(instanceId), 0));
+  again.recordReport(reportEnd('u-3', [A], 'strong', 'another attempt'), 0);
+  assert.ok(again.hasReachedThreshold(A), 'a second attempt was involved in the third crash too');
 });
 
 test('the order and number of reports do not matter', () => {
@@ -56,15 +56,15 @@
     reportEnd(instanceId, [A, B]),
     reportEnd(instanceId, [A], 'weak'),
   ]);
-  const expected = new CrashLedger();
-  reports.forEach((report) => expected.note(report, 0));
+  const expected = new CrashCounter();
+  reports.forEach((report) => expected.recordReport(report, 0));
   const shuffles = fc.shuffledSubarray([...reports, ...reports], {
     minLength: reports.length * 2,
   });
   fc.assert(
     fc.property(shuffles, (shuffled) => {
-      const ledger = new CrashLedger();
-      shuffled.forEach((report) => ledger.note(report, 0));
+      const ledger = new CrashCounter();
+      shuffled.forEach((report) => ledger.recordReport(report, 0));
       assert.is(ledger.getWeight(A), expected.getWeight(A));
       assert.is(ledger.getWeight(B), expected.getWeight(B));
     }),
@@ -77,22 +77,22 @@
   assert.is(judgeSuspicion({ answeredForMs: 200, isEndExpected: false }), 'strong');
   assert.is(judgeSuspicion({ answeredForMs: 1_500, isEndExpected: false }), 'weak');
   assert.is(judgeSuspicion({ answeredForMs: undefined, isEndExpected: true }), 'weak');
-  const ledger = new CrashLedger();
+  const ledger = new CrashCounter();
   const instanceIds = ['u-1', 'u-2', 'u-3', 'u-4', 'u-5', 'u-6'];
   const reached = instanceIds.map(
-    (instanceId) => ledger.note(reportEnd(instanceId, [A], 'weak'), 0).length,
+    (instanceId) => ledger.recordReport(reportEnd(instanceId, [A], 'weak'), 0).length,
   );
   assert.equal(reached, [0, 0, 0, 0, 0, 1]);
 });
 
 test('a complete answer clears a request, and a crash is withdrawn when the upstream turns out alive', () => {
-  const ledger = new CrashLedger();
-  ledger.note(reportEnd('u-1', [A, B]), 0);
-  ledger.note(reportEnd('u-2', [B]), 0);
+  const ledger = new CrashCounter();
+  ledger.recordReport(reportEnd('u-1', [A, B]), 0);
+  ledger.recordReport(reportEnd('u-2', [B]), 0);
   assert.ok(ledger.clear(A));
   assert.not(ledger.clear(A));
   ledger.withdraw('u-1');
-  assert.equal(ledger.listLives(B), ['u-2']);
+  assert.equal(ledger.listCrashedIncarnations(B), ['u-2']);
   ledger.withdraw('u-2');
   assert.is(ledger.size, 0);
 });
@@ -101,34 +101,34 @@
 // twice, the request is answered elsewhere between the two reports, and the second report counts as
 // another crash.
 test('a crash that is reported again after the answer does not count', () => {
-  const ledger = new CrashLedger();
-  ledger.note(reportEnd('u-1', [A]), 0);
+  const ledger = new CrashCounter();
+  ledger.recordReport(reportEnd('u-1', [A]), 0);
   ledger.clear(A);
-  ledger.note(reportEnd('u-1', [A]), 1);
+  ledger.recordReport(reportEnd('u-1', [A]), 1);
   assert.is(ledger.getWeight(A), 0);
-  assert.ok(ledger.hasNoted(A, 'u-1'));
-  ledger.note(reportEnd('u-2', [A]), 2);
+  assert.ok(ledger.hasRecorded(A, 'u-1'));
+  ledger.recordReport(reportEnd('u-2', [A]), 2);
   assert.is(ledger.getWeight(A), 1);
 });
 
 test('crashes expire', () => {
-  const ledger = new CrashLedger();
-  ledger.note(reportEnd('u-1', [A]), 0);
-  ledger.note(reportEnd('u-2', [A]), CRASH_EXPIRY_MS);
+  const ledger = new CrashCounter();
+  ledger.recordReport(reportEnd('u-1', [A]), 0);
+  ledger.recordReport(reportEnd('u-2', [A]), CRASH_EXPIRY_MS);
   assert.is(ledger.getWeight(A), 2);
-  ledger.note(reportEnd('u-3', [B]), CRASH_EXPIRY_MS + 1);
-  assert.equal(ledger.listLives(A), ['u-2']);
+  ledger.recordReport(reportEnd('u-3', [B]), CRASH_EXPIRY_MS + 1);
+  assert.equal(ledger.listCrashedIncarnations(A), ['u-2']);
 });
 
 // Guards against never holding a request that crashes upstreams while other crashes happen under
 // load. This happens when thousands of requests are lost once each, the tracked requests reach
 // their maximum, and the oldest ones are evicted: among them the request that keeps coming back.
 test('many requests with one crash each do not evict a request with more crashes', () => {
-  const ledger = new CrashLedger();
-  ledger.note(reportEnd('u-1', [A]), 0);
-  ledger.note(reportEnd('u-2', [A]), 0);
+  const ledger = new CrashCounter();
+  ledger.recordReport(reportEnd('u-1', [A]), 0);
+  ledger.recordReport(reportEnd('u-2', [A]), 0);
   for (let index = 0; index < 5_000; index += 1) {
-    ledger.note(reportEnd(`f-${index}`, [asId<RequestDigest>(`d-${index}`)]), 1);
+    ledger.recordReport(reportEnd(`f-${index}`, [asId<RequestDigest>(`d-${index}`)]), 1);
   }
   assert.is(ledger.getWeight(A), 2);
   assert.ok(ledger.size < 5_000);
--- a/packages/policy/src/crashes/crashLedger.ts
+++ b/packages/policy/src/crashes/crashCounter.ts
@@ -7,7 +7,7 @@
  * once, in any order.
  */
 import { forgetOldest, type RequestDigest } from '@snipehaven/common';
-import type { EndReport, Suspicion } from './types.js';
+import type { CrashReport, Suspicion } from './types.js';
 
 /**
  * One crash can be a coincidence, and so can a second one, caused by another request that ran at
@@ -48,7 +48,7 @@
   readonly atMs: number;
 }
 
-type CrashesByInstance = Map<string, RecordedCrash>;
+type CrashesByIncarnation = Map<string, RecordedCrash>;
 
 /** Merges two reports of the same crash, from two daemons or of two attempts. */
 const joinCrashes = (a: RecordedCrash, b: RecordedCrash): RecordedCrash => ({
@@ -57,12 +57,12 @@
   atMs: Math.min(a.atMs, b.atMs),
 });
 
-const sumWeights = (crashes: CrashesByInstance): number =>
+const sumWeights = (crashes: CrashesByIncarnation): number =>
   [...crashes.values()].reduce((sum, { weight }) => sum + weight, 0);
 
-export class CrashLedger {
+export class CrashCounter {
   /** By request, then by the instance that crashed; the most recently recorded ones come last. */
-  readonly #crashes = new Map<RequestDigest, CrashesByInstance>();
+  readonly #crashes = new Map<RequestDigest, CrashesByIncarnation>();
 
   /**
    * Instances whose crashes were cleared from a request; the most recently cleared ones come last.
@@ -77,20 +77,22 @@
   }
 
   /** Records the crash for each suspect and returns those that have now reached their threshold. */
-  note({ lifeId, suspects }: EndReport, nowMs: number): readonly RequestDigest[] {
+  recordReport({ lifeId, suspects }: CrashReport, nowMs: number): readonly RequestDigest[] {
     this.#dropExpired(nowMs);
     for (const { digest, suspicion, attemptId } of suspects) {
       const attemptIds = new Set([attemptId]);
       this.#recordCrash(digest, lifeId, { weight: weights[suspicion], attemptIds, atMs: nowMs });
     }
     this.#evictLeastSuspect();
-    return suspects.map(({ digest }) => digest).filter((digest) => this.isGuilty(digest));
+    return suspects
+      .map(({ digest }) => digest)
+      .filter((digest) => this.hasReachedThreshold(digest));
   }
 
   /**
    * Whether so many upstreams crashed under the request that it must not be sent to another one.
    */
-  isGuilty(digest: RequestDigest): boolean {
+  hasReachedThreshold(digest: RequestDigest): boolean {
     const crashes = [...(this.#crashes.get(digest)?.values() ?? [])];
     const attempts = new Set(crashes.flatMap(({ attemptIds }) => [...attemptIds]));
     const bound = attempts.size > 1 ? HOLD_THRESHOLD : SINGLE_ATTEMPT_HOLD_THRESHOLD;
@@ -104,12 +106,12 @@
   }
 
   /** Ids of the instances that crashed under the request. */
-  listLives(digest: RequestDigest): readonly string[] {
+  listCrashedIncarnations(digest: RequestDigest): readonly string[] {
     return [...(this.#crashes.get(digest)?.keys() ?? [])];
   }
 
   /** Whether this crash was recorded for the request, even if it was cleared since. */
-  hasNoted(digest: RequestDigest, lifeId: string): boolean {
+  hasRecorded(digest: RequestDigest, lifeId: string): boolean {
     return (
       this.#crashes.get(digest)?.has(lifeId) === true ||
       this.#cleared.get(digest)?.has(lifeId) === true
@@ -143,7 +145,7 @@
     }
   }
 
-  #rememberCleared(digest: RequestDigest, crashes: CrashesByInstance): void {
+  #rememberCleared(digest: RequestDigest, crashes: CrashesByIncarnation): void {
     const instanceIds = new Set([...(this.#cleared.get(digest) ?? []), ...crashes.keys()]);
     this.#cleared.delete(digest);
     this.#cleared.set(digest, instanceIds);
--- a/packages/policy/src/crashes/index.ts
+++ b/packages/policy/src/crashes/index.ts
@@ -1,5 +1,5 @@
-export * from './chooseSuspectPlace.js';
-export * from './crashLedger.js';
+export * from './chooseSuspectUpstream.js';
+export * from './crashCounter.js';
 export * from './judgeSuspicion.js';
 export * from './suspectTuple.js';
 export type * from './types.js';
--- a/packages/policy/src/crashes/types.ts
+++ b/packages/policy/src/crashes/types.ts
@@ -16,7 +16,7 @@
 }
 
 /** Crash of one upstream instance, with the requests that one daemon had there. */
-export interface EndReport {
+export interface CrashReport {
   readonly lifeId: string;
   readonly suspects: readonly Suspect[];
 }
--- a/packages/policy/src/forward/choosePlace.test.ts
+++ b/packages/policy/src/forward/choosePlacement.test.ts
@@ -2,11 +2,15 @@
 import { createRandom } from '@snipehaven/common';
 import { test } from 'uvu';
 import * as assert from 'uvu/assert';
-import { choosePlace, type PlaceCandidate, type PlaceInput } from './choosePlace.js';
+import {
+  choosePlacement,
+  type PlacementCandidate,
+  type PlacementInput,
+} from './choosePlacement.js';
 import { getLeaveMs, listPartition } from './modelPartitions.js';
 import { ModelDemand } from './modelDemand.js';
 
-const candidate = (id: string, more: Partial<PlaceCandidate> = {}): PlaceCandidate => ({
+const candidate = (id: string, more: Partial<PlacementCandidate> = {}): PlacementCandidate => ({
   id,
   dataCentre: 'a',
   remotePenalty: 0,
@@ -18,7 +22,7 @@
   ...more,
 });
 
-const INPUT: PlaceInput = {
+const INPUT: PlacementInput = {
   candidates: [
     candidate('one'),
     candidate('two'),
@@ -30,7 +34,7 @@
   random: 0.3,
 };
 
-const place = (more: Partial<PlaceInput>) => choosePlace({ ...INPUT, ...more });
+const place = (more: Partial<PlacementInput>) => choosePlacement({ ...INPUT, ...more });
 
 test('requests of one subject go to one local upstream, which caches their shared part', () => {
   const ids = [0, 0.3, 0.6, 0.9].map((random) => place({ affinityKey: 'subject', random })?.id);
@@ -99,19 +103,19 @@
 
 test('partitions follow the placed work, starting with the largest model', () => {
   const demand = new ModelDemand();
-  assert.is(demand.findLane(['small', 'large'], 'small'), undefined);
+  assert.is(demand.findPartition(['small', 'large'], 'small'), undefined);
   for (let index = 0; index < 100; index += 1) {
-    demand.note('small', 100);
-    demand.note('large', 300);
+    demand.recordWork('small', 100);
+    demand.recordWork('large', 300);
   }
-  const small = demand.findLane(['small', 'middle', 'large'], 'small');
-  const large = demand.findLane(['small', 'middle', 'large'], 'large');
+  const small = demand.findPartition(['small', 'middle', 'large'], 'small');
+  const large = demand.findPartition(['small', 'middle', 'large'], 'large');
   assert.is(large?.from, 0);
   assert.is(large?.to, small?.from);
   assert.is(small?.to, 1);
   // 300 of 300 + 2.5 x 100.
   assert.ok(Math.abs((large?.to ?? 0) - 0.545) < 0.03);
-  assert.is(demand.findLane(['small', 'middle', 'large'], 'middle'), undefined);
+  assert.is(demand.findPartition(['small', 'middle', 'large'], 'middle'), undefined);
 });
 
 // Guards against failures of half of a service's requests although other upstreams could serve
@@ -164,7 +168,7 @@
       return candidate(id, { backlog: countsTokens ? queuedMs * 20 : queued });
     });
     const id =
-      choosePlace({
+      choosePlacement({
         candidates,
         sharedWork: 0,
         ownWork: countsTokens ? tokens : 1,
--- a/packages/policy/src/forward/choosePlace.ts
+++ b/packages/policy/src/forward/choosePlacement.ts
@@ -7,9 +7,9 @@
  * have a penalty as well.
  */
 import { getAffinityWeight, hashAffinityKey } from '../upstreamChoice/affinity/affinityHash.js';
-import { listPartition, type Lane } from './modelPartitions.js';
+import { listPartition, type ModelPartition } from './modelPartitions.js';
 
-export interface PlaceCandidate {
+export interface PlacementCandidate {
   readonly id: string;
   readonly dataCentre: string;
   /** Cost of the path to the upstream's data centre, 0 for the local one; in the backlog's unit. */
@@ -26,8 +26,8 @@
   readonly isSuspect: boolean;
 }
 
-export interface PlaceInput {
-  readonly candidates: readonly PlaceCandidate[];
+export interface PlacementInput {
+  readonly candidates: readonly PlacementCandidate[];
   /** Equal for requests whose prompts share parts. */
   readonly affinityKey?: string;
   /** Work of prefilling the shared parts where they are not cached; in the backlog's unit. */
@@ -39,7 +39,7 @@
   /**
    * Partition of the upstreams that is assigned to the request's model; unset means all upstreams.
    */
-  readonly lane?: Lane;
+  readonly lane?: ModelPartition;
   /** Uniform in [0, 1). */
   readonly random: number;
 }
@@ -83,7 +83,7 @@
  * prefill, and one in each data centre beyond. With one owner in each data centre, prompts would be
  * prefilled as many times.
  */
-const findOwners = (input: PlaceInput, partition: ReadonlySet<string>): ReadonlySet<string> => {
+const findOwners = (input: PlacementInput, partition: ReadonlySet<string>): ReadonlySet<string> => {
   const owners = new Map<string, { readonly id: string; readonly weight: number }>();
   if (input.affinityKey !== undefined) {
     const hash = hashAffinityKey(input.affinityKey);
@@ -104,9 +104,9 @@
 }
 
 const getCost = (
-  candidate: PlaceCandidate,
+  candidate: PlacementCandidate,
   { isOwner, isInPartition }: CandidateRole,
-  input: PlaceInput,
+  input: PlacementInput,
 ): number => {
   const work = input.ownWork + input.sharedWork;
   const prefillWork = input.ownWork + (isOwner ? 0 : input.sharedWork);
@@ -123,20 +123,22 @@
   );
 };
 
-const listUnsuspected = (candidates: readonly PlaceCandidate[]): readonly PlaceCandidate[] => {
+const listUnsuspected = (
+  candidates: readonly PlacementCandidate[],
+): readonly PlacementCandidate[] => {
   const unsuspected = candidates.filter((candidate) => !candidate.isSuspect);
   return unsuspected.length > 0 ? unsuspected : candidates;
 };
 
 /** Undefined when there are no candidates. */
-export const choosePlace = (input: PlaceInput): Placement | undefined => {
+export const choosePlacement = (input: PlacementInput): Placement | undefined => {
   const unsuspected = listUnsuspected(input.candidates);
   const ids = unsuspected.map(({ id }) => id);
   const partition = listPartition(ids, input.lane);
   const owners = findOwners(input, partition);
   const tieThreshold = (input.ownWork + input.sharedWork) * TIE_SHARE;
   const offset = Math.floor(input.random * unsuspected.length);
-  let best: PlaceCandidate | undefined;
+  let best: PlacementCandidate | undefined;
   let bestCost = Infinity;
   for (let index = 0; index < unsuspected.length; index += 1) {
     const candidate = unsuspected[(index + offset) % unsuspected.length];
--- a/packages/policy/src/forward/forward.test.ts
+++ b/packages/policy/src/forward/forward.test.ts
@@ -6,7 +6,7 @@
   RepeatBudget,
   chooseNextModel,
   getConfidenceThreshold,
-  getRolloutPlace,
+  getRolloutPosition,
   isVersionBad,
   isVersionProven,
   isVersionProvenAcrossDataCentres,
@@ -86,7 +86,7 @@
 const countExposure = (durationMs: number, stopsAtMs: number, exposure?: number): number => {
   let exposed = 0;
   for (let elapsedMs = 0; elapsedMs < stopsAtMs; elapsedMs += 10) {
-    exposed += getRolloutPlace(after(elapsedMs), durationMs, exposure).newShare * 10;
+    exposed += getRolloutPosition(after(elapsedMs), durationMs, exposure).newShare * 10;
   }
   return exposed / durationMs;
 };
@@ -105,15 +105,15 @@
   const movedMs = 24_000 * 0.65;
   assert.ok(countExposure(24_000, movedMs + 1_000) > 0.0975);
   assert.ok(countExposure(24_000, movedMs + 1_000, 0.0975) < 0.0975);
-  assert.is(getRolloutPlace(after(movedMs), 24_000, 0.0975).newShare, 1);
+  assert.is(getRolloutPosition(after(movedMs), 24_000, 0.0975).newShare, 1);
 });
 
 test('the roll-out moves all requests early enough for long streams, and shares never decrease', () => {
-  assert.is(getRolloutPlace(after(24_000 * 0.66), 24_000).newShare, 1);
-  assert.is(getRolloutPlace(after(23_000), 24_000).phase, 'closing');
+  assert.is(getRolloutPosition(after(24_000 * 0.66), 24_000).newShare, 1);
+  assert.is(getRolloutPosition(after(23_000), 24_000).phase, 'closing');
   let last = 0;
   for (let elapsedMs = 0; elapsedMs <= 24_000; elapsedMs += 100) {
-    const { newShare } = getRolloutPlace(after(elapsedMs), 24_000);
+    const { newShare } = getRolloutPosition(after(elapsedMs), 24_000);
     assert.ok(newShare >= last);
     last = newShare;
   }
--- a/packages/policy/src/forward/index.ts
+++ b/packages/policy/src/forward/index.ts
@@ -1,5 +1,5 @@
 export * from './chooseModelStep.js';
-export * from './choosePlace.js';
+export * from './choosePlacement.js';
 export * from './coldShare.js';
 export * from './decideAttempt.js';
 export * from './judgeVersion.js';
--- a/packages/policy/src/forward/modelDemand.ts
+++ b/packages/policy/src/forward/modelDemand.ts
@@ -1,5 +1,5 @@
 /** Learns from the placed work which part of a service's upstreams each of its models needs. */
-import type { Lane } from './modelPartitions.js';
+import type { ModelPartition } from './modelPartitions.js';
 
 /**
  * Decay per placement: about the last thirty placements dominate, which is a few seconds of a busy
@@ -40,7 +40,7 @@
   }
 
   /** Records that work was placed for a model. */
-  note(model: string, work: number): void {
+  recordWork(model: string, work: number): void {
     for (const [name, sum] of this.#work) {
       this.#work.set(name, sum * DECAY_FACTOR);
     }
@@ -51,7 +51,7 @@
    * Returns the model's range in the order of upstreams, which starts with the largest model.
    * Undefined if no work of the model is known.
    */
-  findLane(smallestFirst: readonly string[], model: string): Lane | undefined {
+  findPartition(smallestFirst: readonly string[], model: string): ModelPartition | undefined {
     const largest = smallestFirst.at(-1);
     const sums = this.#sumWork();
     const getWeightedWork = (name: string): number =>
--- a/packages/policy/src/forward/modelPartitions.ts
+++ b/packages/policy/src/forward/modelPartitions.ts
@@ -11,7 +11,7 @@
 import { getAffinityWeight, hashAffinityKey } from '../upstreamChoice/affinity/affinityHash.js';
 
 /** A range in the fixed order of all upstreams; both ends are fractions from 0 to 1. */
-export interface Lane {
+export interface ModelPartition {
   readonly from: number;
   readonly to: number;
 }
@@ -55,7 +55,7 @@
 /** Returns the upstreams of the partition; at least one if there are any upstreams. */
 export const listPartition = (
   ids: readonly string[],
-  partition: Lane | undefined,
+  partition: ModelPartition | undefined,
 ): ReadonlySet<string> => {
   const ranked = rankUpstreams(ids);
   if (partition === undefined) {
--- a/packages/policy/src/forward/rolloutSchedule.ts
+++ b/packages/policy/src/forward/rolloutSchedule.ts
@@ -16,7 +16,7 @@
   readonly atMostMs: number;
 }
 
-export interface RolloutPlace {
+export interface RolloutPosition {
   readonly phase: SchedulePhase;
   /** Share of the requests without a session that go to the new version. */
   readonly newShare: number;
@@ -25,7 +25,7 @@
 }
 
 /** Steps by the fraction of the roll-out's duration that has elapsed. */
-interface ScheduleStep extends RolloutPlace {
+interface ScheduleStep extends RolloutPosition {
   readonly fromFraction: number;
 }
 
@@ -50,10 +50,10 @@
 
 /** Final phase, with all requests on the new version. */
 const CLOSING_FRACTION = 0.93;
-const CLOSING: RolloutPlace = { phase: 'closing', newShare: 1, sessionShare: 1 };
+const CLOSING: RolloutPosition = { phase: 'closing', newShare: 1, sessionShare: 1 };
 
 /** No requests go to the new version. */
-export const ROLLOUT_NOT_BEGUN: RolloutPlace = { phase: 'trying', newShare: 0, sessionShare: 0 };
+export const ROLLOUT_NOT_BEGUN: RolloutPosition = { phase: 'trying', newShare: 0, sessionShare: 0 };
 
 const scaleToExposure = (share: number, exposure: number): number =>
   share < 1 ? share * Math.min(1, exposure / DEFAULT_EXPOSURE) : share;
@@ -62,11 +62,11 @@
  * A step begins when its time has certainly come, so that no session moves in the first half. The
  * final phase begins when its time may have come, so that the roll-out ends in time.
  */
-export const getRolloutPlace = (
+export const getRolloutPosition = (
   { atLeastMs, atMostMs }: RolloutElapsed,
   durationMs: number,
   exposure: number = DEFAULT_EXPOSURE,
-): RolloutPlace => {
+): RolloutPosition => {
   const step = STEPS.findLast(({ fromFraction }) => atLeastMs >= fromFraction * durationMs);
   if (step === undefined) {
     return ROLLOUT_NOT_BEGUN;
--- a/packages/policy/src/forward/sharedLearning.test.ts
+++ b/packages/policy/src/forward/sharedLearning.test.ts
@@ -13,7 +13,7 @@
   draw: (index: number) => readonly [number, number],
 ): PaceSum => {
   const pace = new WorkPace();
-  Array.from({ length: answers }, (_, index) => pace.note(...draw(index)));
+  Array.from({ length: answers }, (_, index) => pace.recordAnswer(...draw(index)));
   return pace.own;
 };
 
@@ -28,7 +28,7 @@
 test('without other daemons a daemon learns from its own answers', () => {
   const pace = new WorkPace();
   for (let answers = 0; answers < 300; answers += 1) {
-    pace.note(5_000, 100);
+    pace.recordAnswer(5_000, 100);
   }
   assert.ok(Math.abs(pace.estimateWork(100) - 5_000) < 20, `${pace.estimateWork(100)}`);
   assert.ok(pace.own.work > 0);
@@ -76,10 +76,10 @@
   ];
   const demand = new ModelDemand(() => others);
   const models = ['small', 'large'];
-  assert.equal(demand.findLane(models, 'large'), { from: 0, to: 0.5 });
-  demand.note('small', 1_000);
-  assert.equal(demand.findLane(models, 'small')?.to, 1);
-  assert.ok((demand.findLane(models, 'large')?.to ?? 1) < 0.5);
+  assert.equal(demand.findPartition(models, 'large'), { from: 0, to: 0.5 });
+  demand.recordWork('small', 1_000);
+  assert.equal(demand.findPartition(models, 'small')?.to, 1);
+  assert.ok((demand.findPartition(models, 'large')?.to ?? 1) < 0.5);
   assert.equal(demand.own, [{ model: 'small', work: 1_000 }]);
 });
 
--- a/packages/policy/src/forward/workPace.ts
+++ b/packages/policy/src/forward/workPace.ts
@@ -94,7 +94,7 @@
   }
 
   /** Records an answer that started after the given time and had this much work ahead of it. */
-  note(work: number, tookMs: number): void {
+  recordAnswer(work: number, tookMs: number): void {
     this.#own = addAnswer(decay(this.#own), work, Math.max(1, tookMs));
     this.#priorWeight *= DECAY_FACTOR;
   }
--- a/packages/rollouts/src/sharedEvidenceStore.ts
+++ b/packages/rollouts/src/sharedEvidenceStore.ts
@@ -35,7 +35,7 @@
   AnswerEnding,
   AnswerPair,
   AnswerSample,
-  EvidenceBook,
+  EvidenceStore,
   EvidenceSubject,
 } from './types.js';
 
@@ -57,7 +57,7 @@
   readonly cells: number;
 }
 
-export class SharedEvidenceStore implements EvidenceBook {
+export class SharedEvidenceStore implements EvidenceStore {
   readonly cells: EvidenceCells;
 
   /** Counts the candidate answers that this daemon served. */
--- a/packages/rollouts/src/types.ts
+++ b/packages/rollouts/src/types.ts
@@ -38,7 +38,7 @@
   readonly answer: string;
 }
 
-export interface EvidenceBook {
+export interface EvidenceStore {
   /** Returns evidence pooled over all daemons. */
   getEvidence(subject: EvidenceSubject, prior: PriorQuality): QualityEvidence;
   recordEnding(subject: EvidenceSubject, ending: AnswerEnding): void;
--- a/packages/routing/src/admissionController.ts
+++ b/packages/routing/src/admissionController.ts
@@ -22,7 +22,7 @@
 
 type Resolve = (outcome: AdmissionOutcome) => void;
 
-export class AdmissionGate {
+export class AdmissionController {
   readonly #getSettings: () => AdmissionSettings;
 
   readonly #random: Random;
--- a/packages/routing/src/crashes/assertNotHeld.ts
+++ b/packages/routing/src/crashes/assertNotHeld.ts
@@ -2,12 +2,12 @@
 import { Refusal } from '../refusal.js';
 import type { RunTracker } from '../runTracker.js';
 import type { ChatRequest } from '../types.js';
-import type { CrashTally } from './crashTracker.js';
+import type { CrashTracker } from './crashTracker.js';
 import { digestChat } from './digestChat.js';
 
 /** Throws a `held` refusal with the remaining hold time as retry delay. */
 export const assertNotHeld = (
-  crashes: CrashTally,
+  crashes: CrashTracker,
   request: ChatRequest,
   tracker: RunTracker,
 ): void => {
--- a/packages/routing/src/crashes/crashTracker.test.ts
+++ b/packages/routing/src/crashes/crashTracker.test.ts
@@ -4,7 +4,7 @@
 import { HOLD_MS } from '@snipehaven/policy';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { CrashTally } from './crashTracker.js';
+import { CrashTracker } from './crashTracker.js';
 
 interface Context {
   clock: Clock;
@@ -24,7 +24,7 @@
 
 let requestCount = 0;
 
-const crashEngine = (tally: CrashTally, upstream: string): void => {
+const crashEngine = (tally: CrashTracker, upstream: string): void => {
   requestCount += 1;
   tally.recordCrash({
     digest: DIGEST,
@@ -35,7 +35,7 @@
   });
 };
 
-const gossip = (from: CrashTally, to: CrashTally): void => {
+const gossip = (from: CrashTracker, to: CrashTracker): void => {
   const payload = from.getPayload();
   if (payload !== undefined) {
     to.mergePayload(JSON.parse(JSON.stringify(payload)));
@@ -43,7 +43,7 @@
 };
 
 test('three crashes hold a chat regardless of which daemons saw them, each counted once', () => {
-  const [x, y, z] = [new CrashTally(), new CrashTally(), new CrashTally()];
+  const [x, y, z] = [new CrashTracker(), new CrashTracker(), new CrashTracker()];
   crashEngine(x, 'e-1');
   crashEngine(y, 'e-1');
   crashEngine(y, 'e-2');
@@ -59,7 +59,7 @@
 });
 
 test('a later crash of the same engine counts as another crash', ({ clock }) => {
-  const tally = new CrashTally();
+  const tally = new CrashTracker();
   crashEngine(tally, 'e-1');
   crashEngine(tally, 'e-1');
   clock.tick(5_000);
@@ -71,7 +71,7 @@
 });
 
 test('an answer clears a chat on all daemons, and a hold expires', ({ clock }) => {
-  const [x, y] = [new CrashTally(), new CrashTally()];
+  const [x, y] = [new CrashTracker(), new CrashTracker()];
   ['e-1', 'e-2', 'e-3'].forEach((engine) => crashEngine(x, engine));
   gossip(x, y);
   const stale = x.getPayload();
@@ -86,7 +86,7 @@
 });
 
 test('nothing is gossiped unless an engine crashed recently', ({ clock }) => {
-  const tally = new CrashTally();
+  const tally = new CrashTracker();
   assert.is(tally.getPayload(), undefined);
   crashEngine(tally, 'e-1');
   assert.ok(tally.getPayload());
--- a/packages/routing/src/crashes/crashTracker.ts
+++ b/packages/routing/src/crashes/crashTracker.ts
@@ -6,12 +6,12 @@
 import { asId, type RequestDigest, type UpstreamId } from '@snipehaven/common';
 import type { GossipTopic } from '@snipehaven/membership';
 import {
-  CrashLedger,
+  CrashCounter,
   HOLD_MS,
   fromSuspectTuple,
   judgeSuspicion,
   toSuspectTuple,
-  type EndReport,
+  type CrashReport,
 } from '@snipehaven/policy';
 import { crashGossipSchema, type CrashGossip } from '@snipehaven/protocol';
 
@@ -44,14 +44,14 @@
   readonly isEndExpected: boolean;
 }
 
-export class CrashTally implements GossipTopic {
+export class CrashTracker implements GossipTopic {
   readonly name = 'crashes';
 
-  readonly #ledger = new CrashLedger();
+  readonly #ledger = new CrashCounter();
 
   readonly #heldUntilMs = new Map<RequestDigest, number>();
 
-  #crashReports: GossipItem<EndReport>[] = [];
+  #crashReports: GossipItem<CrashReport>[] = [];
 
   #clearedDigests: GossipItem<RequestDigest>[] = [];
 
@@ -106,16 +106,16 @@
     cleared.forEach((digest) => this.recordSuccess(asId<RequestDigest>(digest)));
   }
 
-  #mergeReport(report: EndReport): void {
+  #mergeReport(report: CrashReport): void {
     const nowMs = Date.now();
     const isNew = report.suspects.some(
-      ({ digest }) => !this.#ledger.hasNoted(digest, report.lifeId),
+      ({ digest }) => !this.#ledger.hasRecorded(digest, report.lifeId),
     );
     if (!isNew) {
       return;
     }
     this.#crashReports.push({ item: report, receivedAtMs: nowMs });
-    const newlyHeld = this.#ledger.note(report, nowMs);
+    const newlyHeld = this.#ledger.recordReport(report, nowMs);
     newlyHeld.forEach((digest) => {
       this.#heldUntilMs.set(digest, this.#heldUntilMs.get(digest) ?? nowMs + HOLD_MS);
     });
--- a/packages/routing/src/dependencies.ts
+++ b/packages/routing/src/dependencies.ts
@@ -3,13 +3,13 @@
 import type { ClaimStore } from '@snipehaven/claims';
 import type { ConfigurationStore, SafeMoves } from '@snipehaven/configuration';
 import type { UsageLedger } from '@snipehaven/ledger';
-import type { EvidenceBook, RolloutAssigner } from '@snipehaven/rollouts';
+import type { EvidenceStore, RolloutAssigner } from '@snipehaven/rollouts';
 import type { PinDirectory, SessionTokens } from '@snipehaven/sessions';
 import type { TimelineRecorder } from '@snipehaven/timeline';
 import type { EngineClient, ServiceClient } from '@snipehaven/upstream';
-import type { AdmissionGate } from './admissionController.js';
-import type { CrashTally } from './crashes/index.js';
-import type { LatencyBook } from './latencyTracker.js';
+import type { AdmissionController } from './admissionController.js';
+import type { CrashTracker } from './crashes/index.js';
+import type { LatencyTracker } from './latencyTracker.js';
 import type { TeamLimiter } from './teamLimiter.js';
 import type { UpstreamRegistry } from './upstreamRegistry.js';
 
@@ -46,15 +46,15 @@
   readonly ledger: UsageLedger;
   readonly tokens: SessionTokens;
   readonly pins: PinDirectory;
-  readonly evidence: EvidenceBook;
+  readonly evidence: EvidenceStore;
   readonly assigner: RolloutAssigner;
   /** Engine crashes, and the chats that are held because of them. */
-  readonly crashes: CrashTally;
+  readonly crashes: CrashTracker;
   readonly engines: EngineClient;
   readonly services: ServiceClient;
   readonly registry: UpstreamRegistry;
-  readonly latency: LatencyBook;
-  readonly gate: AdmissionGate;
+  readonly latency: LatencyTracker;
+  readonly gate: AdmissionController;
   readonly limiter: TeamLimiter;
   readonly metrics: RoutingMetrics;
   readonly timeline: TimelineRecorder;
--- a/packages/routing/src/index.ts
+++ b/packages/routing/src/index.ts
@@ -1,7 +1,7 @@
 export * from './admissionController.js';
 export * from './chatBody.js';
 export * from './constants.js';
-export { CrashTally } from './crashes/index.js';
+export { CrashTracker } from './crashes/index.js';
 export * from './dependencies.js';
 export * from './latencyTracker.js';
 export * from './refusal.js';
--- a/packages/routing/src/latencyTracker.ts
+++ b/packages/routing/src/latencyTracker.ts
@@ -12,7 +12,7 @@
 const updateAverage = (average: number, sample: number): number =>
   average + SMOOTHING_FACTOR * (sample - average);
 
-export class LatencyBook {
+export class LatencyTracker {
   readonly #byVersion = new Map<string, VersionLatency>();
 
   get(version: string): VersionLatency {
--- a/packages/routing/src/planChat.test.ts
+++ b/packages/routing/src/planChat.test.ts
@@ -4,7 +4,7 @@
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
 import type { RoutingDependencies } from './dependencies.js';
-import { LatencyBook } from './latencyTracker.js';
+import { LatencyTracker } from './latencyTracker.js';
 import { matchesRequestedModel, planChat, type ChatPlan } from './planChat.js';
 import type { SessionState } from './sessionResolver.js';
 import { createTeam, createVersion, createView } from './testSupport/resources.js';
@@ -50,7 +50,7 @@
       isRaterUp: () => false,
       getEvidence: (_subject: unknown, prior: PriorQuality) => addPrior(noEvidence, prior),
     },
-    latency: new LatencyBook(),
+    latency: new LatencyTracker(),
     random: createRandom(1),
     settings: {},
   }) as unknown as RoutingDependencies;
--- a/packages/routing/src/refusals.test.ts
+++ b/packages/routing/src/refusals.test.ts
@@ -3,7 +3,7 @@
 import { UpstreamNotStartedError } from '@snipehaven/upstream';
 import { suite } from 'uvu';
 import * as assert from 'uvu/assert';
-import { AdmissionGate } from './admissionController.js';
+import { AdmissionController } from './admissionController.js';
 import { Refusal } from './refusal.js';
 import { RequestSignal } from './requestSignal.js';
 import { RunTracker } from './runTracker.js';
@@ -52,7 +52,7 @@
   assert.ok((new Refusal('overloaded', '', tracker).retryAfterMs ?? 0) > 0);
 });
 
-const toAdmission = (id: string): Parameters<AdmissionGate['admit']>[0] => ({
+const toAdmission = (id: string): Parameters<AdmissionController['admit']>[0] => ({
   id,
   team: asId<TeamId>('alpha'),
   weight: 1,
@@ -63,7 +63,7 @@
 });
 
 test('admits, queues, and refuses at once with a retry delay', async () => {
-  const gate = new AdmissionGate(() => ({ maxRunning: 1, maxQueued: 1 }), createRandom(1));
+  const gate = new AdmissionController(() => ({ maxRunning: 1, maxQueued: 1 }), createRandom(1));
   const { signal } = new AbortController();
   const first = await gate.admit(toAdmission('a'), signal);
   assert.is(first.kind, 'admitted');
