--- a/packages/policy/src/forward/chooseModelStep.ts
+++ b/packages/policy/src/forward/chooseModelStep.ts
@@ -55,17 +55,17 @@
 const LATENESS_RAMP_END = 1.2;
 
 /**
- * Mean queueing time, as a fraction of the time left, between whose bounds both lateness bounds are
- * lowered by up to `PRESSURE_SHIFT`. The queueing time indicates how much work has arrived that is
- * not yet known, because many daemons see the same idle upstream.
+ * Bounds on the mean queueing time, as a fraction of the time left. Between them, both lateness
+ * bounds are gradually lowered, by up to `PRESSURE_SHIFT`. Queueing indicates how much work has
+ * arrived that is not known yet, because many daemons see the same idle upstream.
  */
 const PRESSURE_RAMP_START = 0.05;
 const PRESSURE_RAMP_END = 0.12;
 const PRESSURE_SHIFT = 0.4;
 
 /**
- * Queueing time of other requests, as a fraction of the time left. Beyond the first bound,
- * additional work makes some of them late.
+ * Bounds on the queueing time of other requests, as a fraction of the time left. Beyond the first
+ * one, additional work makes some of them late.
  */
 const QUEUEING_RAMP_START = 0.3;
 const QUEUEING_RAMP_END = 1;
