--- a/packages/claims/src/answerKeeper.ts
+++ b/packages/claims/src/answerKeeper.ts
@@ -1,4 +1,4 @@
-/** Where answers of finished claims stand: small ones in the row, large ones in the object store. */
+/** Stores the answers of finished claims: small ones in the row, large ones in the object store. */
 import type { ObjectStoreClient } from '@snipehaven/platform';
 import { restoreStoredAnswer, type ClaimRow } from './claimRow.js';
 import { ANSWER_PREFIX } from './constants.js';
@@ -6,7 +6,7 @@
 
 type AnswerFields = Pick<ClaimRow, 'answer' | 'answerObject'>;
 
-/** Named by the claim's token, so that writing it twice changes nothing. */
+/** Derived from the claim's token, which makes a repeated write idempotent. */
 const getObjectName = (claim: Claim): string =>
   `${ANSWER_PREFIX}${claim.rowKey.split('/').at(-1)}-${encodeURIComponent(claim.token)}`;
 
@@ -20,7 +20,7 @@
     this.#maxInlineBytes = maxInlineBytes;
   }
 
-  /** Stores the answer where needed; resolves with what the row says of it. */
+  /** Writes a large answer to the object store; resolves with the fields to write to the row. */
   async keep(claim: Claim, answer: StoredAnswer): Promise<AnswerFields> {
     const isSmall = Buffer.byteLength(answer.body) <= this.#maxInlineBytes;
     if (isSmall || !this.#objectStore) {
@@ -31,7 +31,7 @@
     return { answerObject };
   }
 
-  /** The answer of a finished row; undefined when it is no longer kept. */
+  /** Loads the answer of a finished row; undefined if it has already been deleted. */
   async load(row: ClaimRow): Promise<StoredAnswer | undefined> {
     if (row.answer) {
       return row.answer as StoredAnswer;
@@ -40,7 +40,7 @@
     return bytes ? (restoreStoredAnswer(bytes) as StoredAnswer) : undefined;
   }
 
-  /** Deletes the object of a row that is gone. */
+  /** Deletes the stored object of a deleted row. */
   async forget(row: ClaimRow): Promise<void> {
     if (row.answerObject) {
       await this.#objectStore?.delete(row.answerObject);
--- a/packages/claims/src/claimCleaner.ts
+++ b/packages/claims/src/claimCleaner.ts
@@ -1,4 +1,4 @@
-/** Deletes claims whose stated time has passed; a duty of one daemon of a data centre. */
+/** Deletes claims whose retention period has passed; run by one daemon per data centre. */
 import type { TableClient, TableRow } from '@snipehaven/platform';
 import type { AnswerKeeper } from './answerKeeper.js';
 import { tryRestoreClaimRow, type ClaimRow } from './claimRow.js';
@@ -24,7 +24,7 @@
 const getUnknownExpiry: Expiry = (row, { settings }) =>
   row.deadlineAtMs + settings.unknownRetentionMs;
 
-/** When a row may go. A claim whose holder lives never goes, for the holder may still act on it. */
+/** Time from which a row may be deleted; never for a claim whose owner is alive and may still use it. */
 const expiryByState: Record<ClaimRow['state'], Expiry> = {
   finished: getAnswerExpiry,
   released: getAnswerExpiry,
@@ -38,7 +38,7 @@
   readonly row: ClaimRow;
 }
 
-/** A row that is no claim is left alone: nobody can tell what it keeps from running twice. */
+/** Skips rows that do not parse as claims: such a row may still prevent a second execution. */
 const restoreRow = (present: TableRow): readonly ClaimTableRow[] => {
   const row = tryRestoreClaimRow(present.value);
   return row ? [{ present, row }] : [];
@@ -47,14 +47,14 @@
 export class ClaimCleaner {
   readonly #options: CleanerOptions;
 
-  /** Where the next page starts; undefined at the beginning of a sweep. */
+  /** Key after which the next page starts; undefined at the start of a full scan. */
   #afterKey: string | undefined;
 
   constructor(options: CleanerOptions) {
     this.#options = options;
   }
 
-  /** Looks through one page of rows; throws the platform's errors. */
+  /** Scans one page of rows and deletes the expired ones; throws platform errors. */
   async cleanUp(nowMs: number): Promise<CleanUpResult> {
     const rows = await this.#scanPage();
     const expired = rows
@@ -74,7 +74,7 @@
     });
   }
 
-  /** A page with more to delete than one call may is gone through from its last deleted row. */
+  /** If the delete limit cut the page short, the next scan continues after the last row selected. */
   #advance(rows: readonly TableRow[], expired: readonly ClaimTableRow[]): void {
     const { cleanUpMaxDeletes, cleanUpPageRows } = this.#options.settings;
     if (expired.length === cleanUpMaxDeletes) {
@@ -84,7 +84,7 @@
     this.#afterKey = rows.length < cleanUpPageRows ? undefined : rows.at(-1)?.key;
   }
 
-  /** The row goes before its object: a row without its object would be an answer lost too early. */
+  /** Deletes the row before its object, since a row without its object would have lost its answer. */
   async #delete(expired: readonly ClaimTableRow[]): Promise<number> {
     if (expired.length === 0) {
       return 0;
--- a/packages/claims/src/claimFixture.ts
+++ b/packages/claims/src/claimFixture.ts
@@ -1,4 +1,4 @@
-/** Daemons' claim stores over one fake table, under a faked clock; for tests. */
+/** Test fixture: claim stores of several daemons that share a fake table and a fake clock. */
 import { createRandom, createSilentLogger, setInvariantsFatal } from '@snipehaven/common';
 import { silentRecorder } from '@snipehaven/timeline';
 import { FakeTable } from './fakeTable.js';
@@ -14,7 +14,7 @@
   encoding: 'utf8',
 };
 
-/** The faked clock, already installed. */
+/** The installed fake clock. */
 export interface TestClock {
   tickAsync(timeMs: number): Promise<unknown>;
   uninstall(): void;
@@ -49,7 +49,7 @@
     return { teamUid: 't1', key: 'k1', bodyHash: 'b1', deadlineAtMs, ...changes };
   }
 
-  /** Advances the clock until the promise has surely settled; a rejection gives its error's code. */
+  /** Advances the clock by `timeMs` and awaits the promise; a rejection resolves to the error code. */
   async settle<Value>(promise: Promise<Value>, timeMs = 5_000): Promise<Value | string> {
     const settled = promise.catch((error: { code: string }) => error.code);
     await this.clock.tickAsync(timeMs);
@@ -64,7 +64,7 @@
     return outcome;
   }
 
-  /** The kind of outcome, or the error's code. */
+  /** Resolves to the outcome kind, or to the error code if the claim is rejected. */
   async claimKind(store: TableClaimStore, changes: Partial<ClaimRequest> = {}): Promise<string> {
     const outcome = await this.settle(store.claim(this.request(changes)));
     return typeof outcome === 'string' ? outcome : outcome.kind;
--- a/packages/claims/src/claimRow.ts
+++ b/packages/claims/src/claimRow.ts
@@ -1,4 +1,4 @@
-/** The table's row of a claim. */
+/** Schema, parsing and serialization of claim rows. */
 import { createHash } from 'node:crypto';
 import { z } from 'zod';
 import { CLAIM_PREFIX } from './constants.js';
@@ -13,18 +13,18 @@
 });
 
 const claimRowSchema = z.object({
-  /** Differs for each attempt to claim. */
+  /** Unique per claim attempt. */
   token: z.string(),
   bodyHash: z.string(),
-  /** Incarnation of the daemon that holds the claim. */
+  /** Incarnation of the daemon that owns the claim. */
   owner: z.string(),
-  /** `released` stands for a key that nobody holds, as if it had never been used. */
+  /** `released`: the key is unclaimed, as if it had never been used. */
   state: z.enum(['claimed', 'finished', 'unknown', 'released']),
-  /** When the state was entered, by the owner's clock. */
+  /** Time of the last state change, by the owner's clock. */
   atMs: z.number(),
   deadlineAtMs: z.number(),
   answer: storedAnswerSchema.optional(),
-  /** Name in the object store of an answer too large for the row. */
+  /** Object store name of an answer that is too large for the row. */
   answerObject: z.string().optional(),
 });
 
@@ -35,24 +35,24 @@
 const stripUndefined = <Value extends object>(value: Value): Value =>
   JSON.parse(JSON.stringify(value)) as Value;
 
-/** Checks the value of a row; undefined when it is no claim. */
+/** Parses a row value; undefined if it is not a valid claim. */
 export const tryRestoreClaimRow = (value: unknown): ClaimRow | undefined =>
   claimRowSchema.safeParse(value).data;
 
-/** Checks the bytes of an answer from the object store; throws `MalformedAnswerError`. */
+/** Parses an answer read from the object store; throws `MalformedAnswerError`. */
 export const restoreStoredAnswer = (bytes: Uint8Array): z.infer<typeof storedAnswerSchema> => {
   try {
     return storedAnswerSchema.parse(JSON.parse(Buffer.from(bytes).toString('utf8')));
   } catch (error) {
-    throw new MalformedAnswerError('object is no answer', { cause: error });
+    throw new MalformedAnswerError('stored object is not a valid answer', { cause: error });
   }
 };
 
-/** The form in which a row is written. */
+/** Returns the row as written to the table, without undefined fields. */
 export const serializeClaimRow = (row: ClaimRow): unknown => stripUndefined(row);
 
 const hash = (text: string): string => createHash('sha256').update(text).digest('base64url');
 
-/** Key of the row for a team's idempotency key; callers' keys are hashed, being of any length. */
+/** Row key for a team's idempotency key, which is hashed because callers may send any length. */
 export const getClaimRowKey = (teamUid: string, key: string): string =>
   `${CLAIM_PREFIX}${encodeURIComponent(teamUid)}/${hash(key)}`;
--- a/packages/claims/src/claimStoreModel.test.ts
+++ b/packages/claims/src/claimStoreModel.test.ts
@@ -1,4 +1,4 @@
-/** Random commands against a simple oracle of which claim of each key was acted upon. */
+/** Model-based test: random commands checked against an oracle of the requests that were executed. */
 import { install } from '@sinonjs/fake-timers';
 import fc from 'fast-check';
 import { test } from 'uvu';
@@ -18,7 +18,7 @@
 
 type KeyState = 'free' | 'held' | 'finished' | 'unknown';
 
-/** A request under way or a claim that its daemon acts upon. */
+/** A claim whose request its daemon is executing. */
 interface HeldClaim {
   readonly claim: Claim;
   readonly key: string;
@@ -31,7 +31,7 @@
   isDead: boolean;
 }
 
-/** The truth: what was acted upon, whatever the table says. */
+/** Tracks which requests were executed, independently of the table. */
 class Oracle {
   readonly fixture = new ClaimFixture(install({ now: 1_000_000_000_000 }));
 
@@ -39,14 +39,14 @@
 
   readonly bodies = new Map<string, string>();
 
-  /** Found while requests run in the background. */
+  /** Errors found while requests run in the background. */
   readonly violations: unknown[] = [];
 
   held: HeldClaim[] = [];
 
   daemons: Daemon[] = [];
 
-  /** A daemon died, so a key that nobody ran may honestly be `outcomeUnknown`. */
+  /** After a daemon was killed, even a key that never ran may correctly be `outcomeUnknown`. */
   hasDeaths = false;
 
   #bootCount = 0;
@@ -78,9 +78,9 @@
     const { key, bodyHash } = request;
     const state = this.states.get(key);
     if (outcome.kind === 'claimed') {
-      assert.is(state, 'free', `${key} runs a second time`);
+      assert.is(state, 'free', `${key} is executed a second time`);
       const row = this.fixture.table.rows.get(outcome.claim.rowKey)?.value as Claim;
-      assert.is(row.token, outcome.claim.token, 'acted upon before the claim is committed');
+      assert.is(row.token, outcome.claim.token, 'executed before the claim is committed');
       this.held.push({ claim: outcome.claim, key, daemon });
       this.states.set(key, 'held');
       this.bodies.set(key, bodyHash);
@@ -88,7 +88,7 @@
     if (outcome.kind === 'finished') {
       assert.is(state, 'finished');
       assert.equal(outcome.answer, { ...answer, body: key });
-      assert.is(bodyHash, this.bodies.get(key), 'answer of another body');
+      assert.is(bodyHash, this.bodies.get(key), 'answer of a request with another body');
     }
     if (outcome.kind === 'outcomeUnknown') {
       assert.ok(state === 'unknown' || this.hasDeaths, `${key} is not unknown but ${state}`);
@@ -113,7 +113,7 @@
     this.daemons[index] = this.boot();
   }
 
-  /** After all faults have ended, every key answers, and no free key is stuck with the living. */
+  /** Checks that after all faults end each key gets an outcome and no live daemon blocks a free key. */
   async checkHealed(): Promise<void> {
     const { table, clock } = this.fixture;
     table.setOutage(undefined);
@@ -136,7 +136,7 @@
 
 type Run = (oracle: Oracle) => void | Promise<void>;
 
-/** A command that is always allowed and shows as its text in a counterexample. */
+/** Creates a command that is always enabled and is printed as `text` in counterexamples. */
 const command = (text: string, run: Run): fc.AsyncCommand<object, Oracle> => ({
   check: () => true,
   run: async (_model, oracle) => run(oracle),
@@ -203,7 +203,7 @@
   daemonIndex.map((at) => command(`kill(${at})`, (oracle) => oracle.kill(at))),
 ];
 
-test('a key is acted upon once unless released, whatever fails', async () => {
+test('a key is executed at most once unless released, under random faults', async () => {
   await fc.assert(
     fc.asyncProperty(fc.commands(commands, { maxCommands: 40 }), async (sequence) => {
       const oracle = new Oracle();
--- a/packages/claims/src/claimTaker.ts
+++ b/packages/claims/src/claimTaker.ts
@@ -1,4 +1,4 @@
-/** Takes a claim in the table: the loop around lost replies, refusals and rows in the way. */
+/** Writes a claim to the table and handles lost replies, refusals and existing rows. */
 import { sleep } from '@snipehaven/common';
 import type { TableRow, TableTransaction, TransactionResult } from '@snipehaven/platform';
 import { tryRestoreClaimRow, serializeClaimRow, type ClaimRow } from './claimRow.js';
@@ -7,13 +7,13 @@
 import type { PendingClaim } from './pendingClaims.js';
 import type { ClaimRequest, ClaimSettings } from './types.js';
 
-/** How an attempt to claim ended. */
+/** Result of trying to claim a key. */
 export type TakeResult =
   | { readonly kind: 'taken'; readonly fence: number }
   | { readonly kind: 'held'; readonly verdict: RowVerdict; readonly row: ClaimRow | undefined }
-  /** Proven not committed, now or later. */
+  /** Not committed, and certain not to commit later. */
   | { readonly kind: 'notTaken'; readonly cause: unknown }
-  /** A write over the row's version went out, and nobody can tell whether it is or will be done. */
+  /** A write conditional on `rowVersion` was sent, and whether it commits is unknown. */
   | { readonly kind: 'undecided'; readonly rowVersion: number; readonly cause: unknown };
 
 export interface TakerOptions {
@@ -39,10 +39,10 @@
   }
 
   /**
-   * What goes wrong: the reply to a claim is lost, and the write is committed, or still on its way and
-   * commits after a read that found nothing. One notices a key that is claimed though its request was
-   * refused, or a request dispatched without its claim. Hence the same write is sent again instead of
-   * a mere read: either it commits, and the first one can no more, or the conflict shows the row.
+   * After a lost reply the write is repeated instead of read back, because the first write may still
+   * be in flight and commit after a read that found no row. That would leave a key claimed although its
+   * request was refused, or dispatch a request without a claim. A repeated write either commits, so
+   * that the first one no longer can, or fails with a conflict that returns the current row.
    */
   async take(
     pending: PendingClaim,
--- a/packages/claims/src/constants.ts
+++ b/packages/claims/src/constants.ts
@@ -1,4 +1,4 @@
-/** Names and default bounds of claims. */
+/** Key prefixes and default settings of the claim store. */
 import type { ClaimSettings } from './types.js';
 
 export const CLAIM_PREFIX = 'claim/';
--- a/packages/claims/src/errors.ts
+++ b/packages/claims/src/errors.ts
@@ -1,14 +1,14 @@
-/** Errors of claims. */
+/** Errors of the claim store. */
 import { SnipehavenError } from '@snipehaven/common';
 
 /**
- * This request holds no claim and nothing may be dispatched for it: it did not run. Of an earlier
- * request with the same key it says nothing.
+ * No claim was acquired, so the request was not and must not be dispatched. Says nothing about an
+ * earlier request with the same key.
  */
 export class ClaimsUnavailableError extends SnipehavenError {
   readonly code = 'claims_unavailable';
 
-  /** When a retry may succeed. */
+  /** Delay after which a retry may succeed. */
   readonly retryAfterMs: number;
 
   constructor(message: string, retryAfterMs: number, options?: ErrorOptions) {
@@ -17,12 +17,12 @@
   }
 }
 
-/** The answer could not be stored in time or the row is gone: retries get `outcomeUnknown`. */
+/** The answer could not be stored in time, or the row no longer exists; retries get `outcomeUnknown`. */
 export class AnswerNotKeptError extends SnipehavenError {
   readonly code = 'answer_not_kept';
 }
 
-/** The queue before the table is full or the entry's time ran out; the entry was not sent. */
+/** The transaction was not sent: the queue is full, or its deadline passed before a send was possible. */
 export class NotSentError extends SnipehavenError {
   readonly code = 'not_sent';
 
@@ -34,7 +34,7 @@
   }
 }
 
-/** An object of the object store does not have the form of an answer. */
+/** A stored object does not match the schema of an answer. */
 export class MalformedAnswerError extends SnipehavenError {
   readonly code = 'malformed_answer';
 }
--- a/packages/claims/src/fakeTable.ts
+++ b/packages/claims/src/fakeTable.ts
@@ -1,4 +1,4 @@
-/** A table in memory whose calls can fail in each way that the real one does; for tests. */
+/** In-memory table for tests that can simulate every failure of the real one. */
 import { sleep } from '@snipehaven/common';
 import { PlatformOutcomeUnknownError, PlatformRefusedError } from '@snipehaven/platform';
 import type {
@@ -9,7 +9,7 @@
   TransactionResult,
 } from '@snipehaven/platform';
 
-/** What happens to one call of `transact`. */
+/** Simulated result of one `transact` call. */
 export type TableFault =
   'none' | 'refused' | 'rateLimited' | 'replyLost' | 'requestLost' | 'appliedLate';
 
@@ -22,7 +22,7 @@
 export class FakeTable implements TableClient {
   readonly rows = new Map<string, TableRow>();
 
-  /** Taken by the next calls of `transact`, first come first served. */
+  /** Applied to the next `transact` calls in order, one fault per call. */
   readonly faults: TableFault[] = [];
 
   #outage: TableFault | undefined;
@@ -33,7 +33,7 @@
 
   callCount = 0;
 
-  /** Never lowered, so that a deleted row's next version is higher, as in the real table. */
+  /** Never decreases, so that a row recreated after a delete gets a higher version, as in the real table. */
   #lastVersion = 0;
 
   readonly #outcomes: Record<TableFault, (apply: Apply) => Promise<readonly TransactionResult[]>> =
@@ -56,7 +56,7 @@
       },
     };
 
-  /** Fails all calls in this way until it is ended by `undefined`. */
+  /** Applies the fault to every call until reset with `undefined`. */
   setOutage(outage: TableFault | undefined): void {
     this.#outage = outage;
   }
--- a/packages/claims/src/judgeRow.ts
+++ b/packages/claims/src/judgeRow.ts
@@ -1,11 +1,11 @@
-/** What another's row means for a request with the same key. */
+/** Evaluates an existing claim row for a request with the same key. */
 import type { ClaimRow } from './claimRow.js';
 import type { ClaimRequest, ClaimSettings } from './types.js';
 
 export type RowVerdict =
-  /** Nobody holds the key: it may be claimed over this row. */
+  /** The key is unclaimed, and this row may be overwritten. */
   | 'free'
-  /** The row is this attempt's own, written by a call whose reply was lost. */
+  /** This attempt wrote the row in a call whose reply was lost. */
   | 'own'
   | 'finished'
   | 'inProgress'
@@ -21,8 +21,8 @@
 }
 
 /**
- * Whether the holder may still be at work. A row of the own incarnation that is not in its memory was
- * given up after `maxUnwrittenAnswerMs`: nobody will write its outcome any more.
+ * Whether the owner may still be processing the request. If the row belongs to this incarnation but is
+ * not in its memory, it was abandoned after `maxUnwrittenAnswerMs` and its outcome will not be written.
  */
 const mayStillRun = (row: ClaimRow, context: JudgeContext): boolean =>
   row.owner !== context.ownIncarnation &&
@@ -39,7 +39,7 @@
   claimed: (row, context) => (mayStillRun(row, context) ? 'inProgress' : 'outcomeUnknown'),
 };
 
-/** Judges the present row; claims are never taken from their holder, dead or alive. */
+/** Evaluates the current row; a claim is never taken over from its owner, whether dead or alive. */
 export const judgeRow = (
   row: ClaimRow,
   request: ClaimRequest,
--- a/packages/claims/src/outcomeWriter.ts
+++ b/packages/claims/src/outcomeWriter.ts
@@ -1,4 +1,4 @@
-/** Writes the outcomes of claims, again and again through outages of the table. */
+/** Writes claim outcomes to the table, with retries during outages. */
 import { getErrorMessage, sleep, type Logger } from '@snipehaven/common';
 import type { TransactionResult } from '@snipehaven/platform';
 import {
@@ -13,7 +13,7 @@
 
 export type OutcomeFields = Pick<ClaimRow, 'state' | 'answer' | 'answerObject'>;
 
-/** `gone`: the row is no longer this claim's (cleaned up, or claimed anew after a release). */
+/** `gone`: the row was deleted, or released and claimed again, and no longer belongs to this claim. */
 export type WriteResult = 'written' | 'gone' | 'gaveUp';
 
 export interface WriterOptions {
@@ -32,12 +32,12 @@
     this.#options = options;
   }
 
-  /** Ends the background tries; what is not written by then stays unwritten. */
+  /** Stops retrying; outcomes not yet written stay unwritten. */
   stop(): void {
     this.#isStopped = true;
   }
 
-  /** Writes the outcome over the row at `rowVersion`, until it is in the table or `giveUpAtMs`. */
+  /** Writes the outcome over the row at `rowVersion`, with retries until `giveUpAtMs`. */
   async write(
     pending: PendingClaim,
     rowVersion: number,
@@ -59,7 +59,7 @@
       } catch (error) {
         this.#options.logger.debug(
           { err: getErrorMessage(error) },
-          'outcome of a claim not written',
+          'failed to write a claim outcome',
         );
         await sleep(pauseMs);
         pauseMs = Math.min(pauseMs * 2, maxSettleRetryMs);
@@ -87,7 +87,7 @@
     return this.#options.batcher.submit(transaction, giveUpAtMs);
   }
 
-  /** The row's version to write over where the claim itself is found at another one. */
+  /** Maps the result of a write; returns the current version if the claim's row has another one. */
   #readResult(
     pending: PendingClaim,
     state: ClaimState,
--- a/packages/claims/src/pendingClaims.ts
+++ b/packages/claims/src/pendingClaims.ts
@@ -1,15 +1,16 @@
-/** What this daemon knows of claims that the table does not yet say. */
+/** In-memory state of claims whose outcome is not in the table yet. */
 import type { Claim, ClaimOutcome, ClaimRequest, StoredAnswer } from './types.js';
 
 /**
- * `taking`: being written; `held`: committed; `abandoned`: its request was refused while nobody could
- * tell whether it is committed, and it was never dispatched; `finishing`, `releasing`,
- * `markingUnknown`: the outcome is known here and being written; `forgotten`: the table tells of it.
+ * `taking`: the claim is being written. `held`: it is committed. `abandoned`: the request was refused
+ * without being dispatched, before it was known whether the claim committed. `finishing`, `releasing`,
+ * `markingUnknown`: the outcome is being written. `forgotten`: no longer tracked in memory; the table is
+ * authoritative.
  */
 export type PendingState =
   'taking' | 'held' | 'abandoned' | 'finishing' | 'releasing' | 'markingUnknown' | 'forgotten';
 
-/** One claim, from its first write until its outcome is in the table. */
+/** Tracks a claim from its first write until its outcome is in the table. */
 export class PendingClaim {
   readonly rowKey: string;
 
@@ -41,17 +42,17 @@
     return this.#state;
   }
 
-  /** Known while `finishing`. */
+  /** Set while `finishing`, until discarded. */
   get answer(): StoredAnswer | undefined {
     return this.#answer;
   }
 
-  /** Version of the committed row; 0 before. */
+  /** Version of the committed row; 0 before the commit. */
   get fence(): number {
     return this.#fence;
   }
 
-  /** Resolves at the next change of state. */
+  /** Resolves on the next state change. */
   get change(): Promise<void> {
     return this.#change;
   }
@@ -87,14 +88,14 @@
 
 type LocalAnswer = (pending: PendingClaim, retryAfterMs: number) => ClaimOutcome;
 
-/** What a request with the same key gets; without an entry it waits until the state changes. */
+/** Outcome for a request with the same key; states without an entry make it wait for a state change. */
 const answersByState: Partial<Record<PendingState, LocalAnswer>> = {
   held: (_pending, retryAfterMs) => ({ kind: 'inProgress', retryAfterMs }),
   markingUnknown: () => ({ kind: 'outcomeUnknown' }),
   finishing: ({ answer }) => (answer ? { kind: 'finished', answer } : { kind: 'outcomeUnknown' }),
 };
 
-/** Answers a request with the same key from memory; undefined: wait for the next change. */
+/** Outcome for a request with the same key; undefined if it must wait for a state change. */
 export const answerFromPending = (
   pending: PendingClaim,
   request: ClaimRequest,
--- a/packages/claims/src/tableClaimStore.test.ts
+++ b/packages/claims/src/tableClaimStore.test.ts
@@ -20,7 +20,7 @@
 };
 
 claims(
-  'finishes at one daemon and answers a retry at another, until the stated time',
+  'returns the stored answer to a retry at another daemon until it expires',
   async ({ fixture }) => {
     const [a, b] = [fixture.createStore('a'), fixture.createStore('b')];
     const claim = getClaim(await fixture.claim(a));
@@ -49,20 +49,18 @@
   },
 );
 
-claims('a reply lost after the claim was committed', async ({ fixture }) => {
-  // Symptom: the caller is refused though its key is taken, and every retry hears `in progress`.
-  // Sequence: the claim commits; the reply is lost.
-  // Cause: the daemon took its own row for another's.
+claims('recognises its own claim after the reply to the commit was lost', async ({ fixture }) => {
+  // The claim commits but the reply is lost. If the daemon took its own row for another daemon's, the
+  // caller would be refused and every retry would get `inProgress`.
   fixture.table.faults.push('replyLost');
   const claim = getClaim(await fixture.claim(fixture.createStore('a')));
   assert.is(fixture.table.rows.get(claim.rowKey)?.version, claim.fence);
 });
 
-claims('a write that commits after its request was refused', async ({ fixture }) => {
-  // Symptom: a key that nobody runs is `in progress` for ever.
-  // Sequence: the claim goes out, the table is silent past the request's patience, the request is
-  // refused `not run`; seconds later the claim commits.
-  // Cause: a read-back that finds nothing proves nothing about a write still on its way.
+claims('releases a claim that commits after its request was refused', async ({ fixture }) => {
+  // The table does not reply within the request's wait, the request is refused as not run, and the
+  // claim commits seconds later. A read that finds no row says nothing about a write in flight; relying
+  // on it would leave the key `inProgress` for ever.
   const [a, b] = [fixture.createStore('a'), fixture.createStore('b')];
   fixture.table.setOutage('appliedLate');
   const outcome = a.claim(fixture.request());
@@ -75,10 +73,9 @@
   assert.equal((fixture.table.rows.get(claim.rowKey)?.value as Claim).token, claim.token);
 });
 
-claims('a claim over a released row commits after its request was refused', async ({ fixture }) => {
-  // Symptom: as above, for a key that had been claimed and released before.
-  // Sequence: the claim's second write, over the released row, comes late.
-  // Cause: the release was written over an absent row, which the late write does not ask for.
+claims('releases a late claim that overwrote a released row', async ({ fixture }) => {
+  // As above, for a key that was claimed and released before: the claim's second write, over the
+  // released row, commits late. A release conditional on an absent row would not prevent that write.
   const [a, b] = [fixture.createStore('a'), fixture.createStore('b')];
   await fixture.settle(a.release(getClaim(await fixture.claim(a))));
   const refusals = Array.from({ length: 30 }, () => 'refused' as const);
@@ -89,10 +86,9 @@
   assert.is(await fixture.claimKind(a), 'claimed');
 });
 
-claims('a reply that comes after the request gave up', async ({ fixture }) => {
-  // Symptom: a key that nobody runs is `in progress` while its owner lives.
-  // Sequence: the table takes 2.5 s; the request is refused after 1.5 s; the claim commits.
-  // Cause: the refused request's claim was kept.
+claims('releases a claim whose reply arrives after the request timed out', async ({ fixture }) => {
+  // The table takes 2.5 s, the request is refused after 1.5 s, and the claim commits. If it were not
+  // released, the key would stay `inProgress` while its owner is alive.
   const [a, b] = [fixture.createStore('a'), fixture.createStore('b')];
   fixture.table.setLatency(2_500);
   assert.is(await fixture.settle(a.claim(fixture.request()), 1_600), 'claims_unavailable');
@@ -102,11 +98,10 @@
 });
 
 claims(
-  'an owner that dies before it could release what it never dispatched',
+  'reports an unknown outcome if the owner dies before releasing an undispatched claim',
   async ({ fixture }) => {
-    // Symptom: a retry might run a second time, or hang.
-    // Sequence: the claim commits, its reply is lost, the request is refused, the daemon dies.
-    // Cause: only the dead owner knew that nothing was dispatched; the honest answer is `unknown`.
+    // The claim commits, its reply is lost, the request is refused and the daemon dies. Only the dead
+    // owner knew that nothing was dispatched, so a retry must neither run nor hang.
     const [a, b] = [fixture.createStore('a'), fixture.createStore('b')];
     fixture.table.setOutage('replyLost');
     assert.is(await fixture.settle(a.claim(fixture.request()), 2_000), 'claims_unavailable');
@@ -121,10 +116,9 @@
   },
 );
 
-claims('the owner is paused past its deadline and comes back', async ({ fixture }) => {
-  // Symptom: the request runs twice, or its answer is lost.
-  // Sequence: A claims and stops; B holds A for dead and gets a retry; A wakes, finishes.
-  // Cause: a claim with a lease would have lapsed and been taken over by B.
+claims('keeps the claim of an owner that is paused past its deadline', async ({ fixture }) => {
+  // A claims and is paused; B considers A dead and gets a retry; A resumes and finishes. If claims
+  // expired like leases, B would take over, and the request would run twice or lose its answer.
   const [a, b] = [fixture.createStore('a'), fixture.createStore('b')];
   const claim = getClaim(await fixture.claim(a));
   await fixture.clock.tickAsync(HOUR_MS);
@@ -138,11 +132,10 @@
 });
 
 claims(
-  'the same key at two daemons, and twice at one, at the same instant',
+  'grants a key once when two daemons claim it twice each at the same time',
   async ({ fixture }) => {
-    // Symptom: a filing is made twice.
-    // Sequence: the caller's retry overtakes its first try at another daemon.
-    // Cause: both checked that the key is free before either wrote.
+    // A caller's retry overtakes its first attempt at another daemon. If both checked that the key is
+    // free before either wrote, the request would run twice.
     const [a, b] = [fixture.createStore('a'), fixture.createStore('b')];
     const tries = [a, b, a, b].map((store) => store.claim(fixture.request()));
     const outcomes = (await fixture.settle(Promise.all(tries))) as readonly ClaimOutcome[];
@@ -151,10 +144,9 @@
   },
 );
 
-claims('the same key in two data centres cut off from each other', async ({ fixture }) => {
-  // Symptom: each side runs the request.
-  // Sequence: the cut leaves the table reachable from one side only; the caller tries both.
-  // Cause: a side that can't ask the table took the key for free.
+claims('grants a key only where the table is reachable during a partition', async ({ fixture }) => {
+  // A network partition leaves the table reachable from one data centre only, and the caller tries
+  // both. If the side without the table treated the key as free, each side would run the request.
   const cut = fixture.createStore('a');
   fixture.table.setOutage('refused');
   assert.is(await fixture.claimKind(cut), 'claims_unavailable');
@@ -163,28 +155,29 @@
   assert.is(await fixture.claimKind(cut), 'inProgress');
 });
 
-claims('the table is down for an hour', async ({ fixture }) => {
-  // Symptom: answers of finished requests are lost, or new ones run without a claim.
-  // Sequence: a claim is held when the table goes away; its request finishes; an hour passes.
-  // Cause: the outcome was written once only, or the outage was taken for success.
-  const [a, b] = [fixture.createStore('a'), fixture.createStore('b')];
-  const claim = getClaim(await fixture.claim(a));
-  fixture.table.setOutage('refused');
-  const finishing = a.finish(claim, answer);
-  await fixture.clock.tickAsync(HOUR_MS);
-  assert.is(await fixture.claimKind(a), 'finished');
-  assert.is(await fixture.claimKind(a, { bodyHash: 'other' }), 'differentBody');
-  assert.is(await fixture.claimKind(b), 'claims_unavailable');
-  assert.is(await fixture.claimKind(a, { key: 'k2' }), 'claims_unavailable');
-  fixture.table.setOutage(undefined);
-  assert.is(await fixture.settle(finishing, 10_000), undefined);
-  assert.is(await fixture.claimKind(b), 'finished');
-});
+claims(
+  'keeps answers and refuses new claims while the table is down for an hour',
+  async ({ fixture }) => {
+    // The table fails while a claim is held, and the request finishes during the outage. Without retries
+    // its answer would be lost; if the outage counted as success, requests would run without a claim.
+    const [a, b] = [fixture.createStore('a'), fixture.createStore('b')];
+    const claim = getClaim(await fixture.claim(a));
+    fixture.table.setOutage('refused');
+    const finishing = a.finish(claim, answer);
+    await fixture.clock.tickAsync(HOUR_MS);
+    assert.is(await fixture.claimKind(a), 'finished');
+    assert.is(await fixture.claimKind(a, { bodyHash: 'other' }), 'differentBody');
+    assert.is(await fixture.claimKind(b), 'claims_unavailable');
+    assert.is(await fixture.claimKind(a, { key: 'k2' }), 'claims_unavailable');
+    fixture.table.setOutage(undefined);
+    assert.is(await fixture.settle(finishing, 10_000), undefined);
+    assert.is(await fixture.claimKind(b), 'finished');
+  },
+);
 
-claims('an answer that can never be written ends as unknown', async ({ fixture }) => {
-  // Symptom: memory fills with answers during a long outage.
-  // Sequence: the table stays away past `maxUnwrittenAnswerMs`.
-  // Cause: answers waited without a bound.
+claims('marks the outcome unknown if the answer cannot be written in time', async ({ fixture }) => {
+  // The table is unavailable for longer than `maxUnwrittenAnswerMs`. Without that limit, unwritten
+  // answers would fill the memory during a long outage.
   const [a, b] = [fixture.createStore('a'), fixture.createStore('b')];
   const claim = getClaim(await fixture.claim(a));
   fixture.table.setOutage('refused');
@@ -197,11 +190,10 @@
 });
 
 claims(
-  'over the rate limit, claims wait their turn or are refused at once',
+  'queues rate-limited claims, or refuses them at once if they cannot be sent in time',
   async ({ fixture }) => {
-    // Symptom: claims of the rate-limited batch are lost, or hammer the table.
-    // Sequence: 429 with Retry-After, shorter and longer than the requests' patience.
-    // Cause: a refusal for the rate was taken for an outage, or retried without waiting.
+    // The table answers 429 with a Retry-After shorter or longer than the requests may wait. Treated as
+    // an outage, the batch's claims would be lost; retried without delay, they would flood the table.
     const store = fixture.createStore('a');
     fixture.table.faults.push('rateLimited');
     const keys = Array.from({ length: 20 }, (_item, index) => `k${index}`);
@@ -215,36 +207,42 @@
   },
 );
 
-claims('bounds: queue, pending claims and a row of another form', async ({ fixture }) => {
-  const store = fixture.createStore('a', { settings: { maxPendingClaims: 1 } });
-  const { rowKey } = getClaim(await fixture.claim(store));
-  assert.is(await fixture.claimKind(store, { key: 'k2' }), 'claims_unavailable');
-  fixture.table.rows.set(rowKey, { key: rowKey, value: { odd: true }, version: 9 });
-  assert.is(await fixture.claimKind(fixture.createStore('b')), 'outcomeUnknown');
-});
+claims(
+  'limits pending claims and treats a malformed row as an unknown outcome',
+  async ({ fixture }) => {
+    const store = fixture.createStore('a', { settings: { maxPendingClaims: 1 } });
+    const { rowKey } = getClaim(await fixture.claim(store));
+    assert.is(await fixture.claimKind(store, { key: 'k2' }), 'claims_unavailable');
+    fixture.table.rows.set(rowKey, { key: rowKey, value: { odd: true }, version: 9 });
+    assert.is(await fixture.claimKind(fixture.createStore('b')), 'outcomeUnknown');
+  },
+);
 
-claims('large answers stand in the object store and go with their row', async ({ fixture }) => {
-  const objects = new Map<string, Uint8Array>();
-  const objectStore = {
-    put: async (name: string, bytes: Uint8Array) => {
-      objects.set(name, bytes);
-    },
-    get: async (name: string) => objects.get(name),
-    delete: async (name: string) => {
-      objects.delete(name);
-    },
-    list: async () => [...objects.keys()],
-  };
-  const options = { objectStore, settings: { maxInlineAnswerBytes: 10 } };
-  const [a, b] = [fixture.createStore('a', options), fixture.createStore('b', options)];
-  await fixture.settle(a.finish(getClaim(await fixture.claim(a)), answer));
-  assert.is(objects.size, 1);
-  assert.equal(await fixture.claim(b), { kind: 'finished', answer });
-  await fixture.settle(b.cleanUp(Date.now() + DAY_MS));
-  assert.is(objects.size + fixture.table.rows.size, 0);
-});
+claims(
+  'stores large answers in the object store and deletes them with their row',
+  async ({ fixture }) => {
+    const objects = new Map<string, Uint8Array>();
+    const objectStore = {
+      put: async (name: string, bytes: Uint8Array) => {
+        objects.set(name, bytes);
+      },
+      get: async (name: string) => objects.get(name),
+      delete: async (name: string) => {
+        objects.delete(name);
+      },
+      list: async () => [...objects.keys()],
+    };
+    const options = { objectStore, settings: { maxInlineAnswerBytes: 10 } };
+    const [a, b] = [fixture.createStore('a', options), fixture.createStore('b', options)];
+    await fixture.settle(a.finish(getClaim(await fixture.claim(a)), answer));
+    assert.is(objects.size, 1);
+    assert.equal(await fixture.claim(b), { kind: 'finished', answer });
+    await fixture.settle(b.cleanUp(Date.now() + DAY_MS));
+    assert.is(objects.size + fixture.table.rows.size, 0);
+  },
+);
 
-claims('outcomes reported twice or of a foreign claim violate the promise', async ({ fixture }) => {
+claims('reporting an outcome twice violates the at-most-once invariant', async ({ fixture }) => {
   const store = fixture.createStore('a');
   const claim = getClaim(await fixture.claim(store));
   await fixture.settle(store.release(claim));
--- a/packages/claims/src/tableClaimStore.ts
+++ b/packages/claims/src/tableClaimStore.ts
@@ -1,4 +1,4 @@
-/** Claims as rows of the platform's table, the only place that all daemons agree on. */
+/** Claim store backed by the platform table, the only state that all daemons agree on. */
 import { getErrorMessage, invariant, sleep, type Logger, type Random } from '@snipehaven/common';
 import type { ObjectStoreClient, TableClient } from '@snipehaven/platform';
 import type { TimelineRecorder } from '@snipehaven/timeline';
@@ -23,9 +23,9 @@
 
 export interface TableClaimStoreOptions {
   readonly table: TableClient;
-  /** Without one, large answers stand in the rows too. */
+  /** If absent, large answers are stored in the rows too. */
   readonly objectStore?: ObjectStoreClient;
-  /** This life of this daemon. */
+  /** Identifies this run of the daemon process. */
   readonly incarnation: string;
   readonly isIncarnationAlive: (incarnation: string) => boolean;
   readonly timeline: TimelineRecorder;
@@ -37,7 +37,7 @@
 const TOKEN_RANDOM_LIMIT = 2 ** 31;
 const TOKEN_RADIX = 36;
 
-/** The promise's value, or undefined when the moment comes first. */
+/** Resolves with the promise's value, or undefined if `giveUpAtMs` passes first. */
 const waitUntil = async <Value>(
   promise: Promise<Value>,
   giveUpAtMs: number,
@@ -64,7 +64,7 @@
 
   readonly #cleaner: ClaimCleaner;
 
-  /** By row key, from the first write until the outcome is in the table. */
+  /** Claims by row key, from the first write until the outcome is in the table. */
   readonly #pending = new Map<string, PendingClaim>();
 
   readonly #writes = new Set<Promise<unknown>>();
@@ -84,7 +84,7 @@
     this.#cleaner = new ClaimCleaner({ ...shared, answers: this.#answers });
   }
 
-  /** Claims held here or whose outcome is not yet in the table. */
+  /** Number of claims held by this daemon or with an outcome not yet in the table. */
   get pendingCount(): number {
     return this.#pending.size;
   }
@@ -124,7 +124,7 @@
       return;
     }
     this.#giveAnswerUp(pending, result === 'gone');
-    throw new AnswerNotKeptError(`answer of ${pending.rowKey} is not kept: ${result}`);
+    throw new AnswerNotKeptError(`answer of claim ${pending.rowKey} was not stored: ${result}`);
   }
 
   async release(claim: Claim): Promise<void> {
@@ -135,18 +135,18 @@
     await this.#settle(this.#getHeld(claim), 'markingUnknown', claim.fence);
   }
 
-  /** Deletes rows past their time, one page a call; throws the platform's errors. */
+  /** Scans one page per call and deletes expired rows; throws platform errors. */
   cleanUp(nowMs: number): Promise<CleanUpResult> {
     return this.#cleaner.cleanUp(nowMs);
   }
 
-  /** Resolves when all outcomes known here are in the table, or after the time; for shutdown. */
+  /** Waits during shutdown until all pending writes end, for at most `timeoutMs`. */
   async flush(timeoutMs: number): Promise<{ readonly unwritten: number }> {
     await waitUntil(Promise.allSettled([...this.#writes]), Date.now() + timeoutMs);
     return { unwritten: this.#writes.size };
   }
 
-  /** Ends the background writes. */
+  /** Stops background writes. */
   stop(): void {
     this.#writer.stop();
   }
@@ -164,7 +164,7 @@
     }
     pending.enter('abandoned');
     void this.#track(taking).then((late) => this.#handleLate(pending, late));
-    throw this.#createUnavailable('no reply from the table in time');
+    throw this.#createUnavailable('table did not reply in time');
   }
 
   async #handleTaken(pending: PendingClaim, result: TakeResult): Promise<ClaimOutcome> {
@@ -176,14 +176,14 @@
         return this.#answerFromRow(result.verdict, result.row);
       case 'notTaken':
         this.#forget(pending);
-        throw this.#createUnavailable('the table is away', result.cause);
+        throw this.#createUnavailable('table unavailable', result.cause);
       default:
         this.#abandon(pending, result.rowVersion);
-        throw this.#createUnavailable('no reply from the table', result.cause);
+        throw this.#createUnavailable('table did not reply', result.cause);
     }
   }
 
-  /** The request was refused before its claim's fate was known: what it took is given back. */
+  /** Releases a claim whose result arrived after its request had been refused. */
   #handleLate(pending: PendingClaim, result: TakeResult): void {
     if (result.kind === 'taken') {
       this.#abandon(pending, result.fence);
@@ -201,15 +201,17 @@
   }
 
   /**
-   * What goes wrong: the reply to a claim is lost and the table stays away past the request's patience.
-   * The request is refused, truly not run, but the row may exist and would refuse every retry until
-   * this daemon dies. Since nothing was dispatched, the key is released as soon as the table answers:
-   * over the claim if it is there, else over the row that the lost write expected, absent or released,
-   * so that a late write no longer finds the version it asks for.
+   * Releases the key of a refused request whose claim may have committed. Otherwise, after a lost reply
+   * and a table outage longer than the request's wait, the row could block every retry until this daemon
+   * dies, although nothing was dispatched. The release overwrites the claim if it is present, else the
+   * absent or released row that the lost write expected, so that a late write fails its version check.
    */
   #abandon(pending: PendingClaim, rowVersion: number): void {
     this.#settle(pending, 'abandoned', rowVersion).catch((error: unknown) =>
-      this.#options.logger.error({ err: getErrorMessage(error) }, 'abandoned claim not released'),
+      this.#options.logger.error(
+        { err: getErrorMessage(error) },
+        'failed to release an abandoned claim',
+      ),
     );
   }
 
@@ -248,15 +250,15 @@
   }
 
   /**
-   * With the object store away the answer can't be had now, yet the request did run: `not run` would
-   * be false, so the caller is told to ask again.
+   * While the object store is unavailable the answer cannot be read. The request did run, so reporting
+   * it as not run would be false; the caller is told to retry.
    */
   async #loadAnswer(row: ClaimRow | undefined): Promise<ClaimOutcome> {
     try {
       const answer = row && (await this.#answers.load(row));
       return answer ? { kind: 'finished', answer } : { kind: 'outcomeUnknown' };
     } catch (error) {
-      this.#options.logger.warn({ err: getErrorMessage(error) }, 'stored answer not read');
+      this.#options.logger.warn({ err: getErrorMessage(error) }, 'failed to load a stored answer');
       return { kind: 'inProgress', retryAfterMs: this.#settings.retryAfterMs };
     }
   }
@@ -264,11 +266,11 @@
   async #waitForChange(pending: PendingClaim, giveUpAtMs: number): Promise<void> {
     await waitUntil(pending.change, giveUpAtMs);
     if (Date.now() >= giveUpAtMs) {
-      throw this.#createUnavailable('an earlier claim of the key is not settled');
+      throw this.#createUnavailable('an earlier claim of this key is still pending');
     }
   }
 
-  /** From now on the table tells of the claim. */
+  /** Stops tracking the claim in memory; the table is authoritative from here on. */
   #forget(pending: PendingClaim): void {
     this.#pending.delete(pending.rowKey);
     pending.enter('forgotten');
@@ -279,7 +281,7 @@
     const isHeld = pending?.token === claim.token && pending.state === 'held';
     invariant(isHeld, 'atMostOnce', `outcome of ${claim.rowKey}, which is not held`);
     if (!pending || !isHeld) {
-      throw new AnswerNotKeptError(`${claim.rowKey} is not held`);
+      throw new AnswerNotKeptError(`claim ${claim.rowKey} is not held by this daemon`);
     }
     return pending;
   }
--- a/packages/claims/src/transactionBatcher.ts
+++ b/packages/claims/src/transactionBatcher.ts
@@ -1,4 +1,4 @@
-/** Group commit: transactions that wait together go to the table in one call. */
+/** Group commit: sends queued transactions to the table in batches. */
 import type { Random } from '@snipehaven/common';
 import { PlatformOutcomeUnknownError, PlatformRefusedError } from '@snipehaven/platform';
 import type { TableClient, TableTransaction, TransactionResult } from '@snipehaven/platform';
@@ -7,7 +7,7 @@
 
 interface Entry {
   readonly transaction: TableTransaction;
-  /** Not sent after this moment. */
+  /** The transaction is not sent after this time. */
   readonly giveUpAtMs: number;
   readonly resolve: (result: TransactionResult) => void;
   readonly reject: (error: unknown) => void;
@@ -18,7 +18,7 @@
   'groupCommitMs' | 'maxBatch' | 'maxBatchesInFlight' | 'maxQueuedTransactions' | 'retryAfterMs'
 >;
 
-/** What one batcher has sent. */
+/** Counters of one batcher. */
 export interface BatcherCounts {
   readonly calls: number;
   readonly transactions: number;
@@ -37,13 +37,14 @@
   if (result) {
     entry.resolve(result);
   } else {
-    entry.reject(new PlatformOutcomeUnknownError('the table gave no result'));
+    entry.reject(new PlatformOutcomeUnknownError('table returned no result for the transaction'));
   }
 };
 
 /**
- * Sends transactions in bounded batches, few of them in flight. Over the table's rate limit the batch
- * waits its `Retry-After` and more, and shrinks: a batch above the table's burst would be refused for ever.
+ * Sends transactions in bounded batches, with a bounded number in flight. When rate-limited, waits for
+ * `Retry-After` plus a backoff and halves the batch size, since a batch larger than the table's burst
+ * limit would never be accepted.
  */
 export class TransactionBatcher {
   readonly #table: TableClient;
@@ -87,15 +88,15 @@
   }
 
   /**
-   * Resolves with the transaction's own result. Rejects with `NotSentError` when it was never sent, else
-   * with the platform's errors; `PlatformOutcomeUnknownError` holds for all of the batch.
+   * Resolves with the result of this transaction. Rejects with `NotSentError` if it was never sent,
+   * else with a platform error; `PlatformOutcomeUnknownError` applies to the whole batch.
    */
   submit(transaction: TableTransaction, giveUpAtMs: number): Promise<TransactionResult> {
     if (this.#queue.length >= this.#settings.maxQueuedTransactions) {
-      return Promise.reject(new NotSentError('queue is full', this.#getRetryAfterMs()));
+      return Promise.reject(new NotSentError('transaction queue is full', this.#getRetryAfterMs()));
     }
     if (this.#pausedUntilMs > giveUpAtMs) {
-      return Promise.reject(new NotSentError('over the rate limit', this.#getRetryAfterMs()));
+      return Promise.reject(new NotSentError('table rate limit exceeded', this.#getRetryAfterMs()));
     }
     return new Promise((resolve, reject) => {
       this.#queue.push({ transaction, giveUpAtMs, resolve, reject });
@@ -137,7 +138,7 @@
     const nowMs = Date.now();
     const expired = this.#queue.filter((entry) => entry.giveUpAtMs < nowMs);
     expired.forEach((entry) =>
-      entry.reject(new NotSentError('waited too long', this.#getRetryAfterMs())),
+      entry.reject(new NotSentError('timed out in the transaction queue', this.#getRetryAfterMs())),
     );
     const waiting = this.#queue.filter((entry) => entry.giveUpAtMs >= nowMs);
     this.#queue = waiting.slice(this.#batchLimit);
@@ -171,9 +172,8 @@
   }
 
   /**
-   * What goes wrong: all daemons come back at the moment that the table named, most are refused again,
-   * and the table answers refusals only. One notices many more rate-limited calls than commits. Hence
-   * each waits longer after each refusal in a row, by a random part.
+   * Adds exponential backoff with random jitter to `Retry-After`. Otherwise all daemons retry at the
+   * same moment, most are refused again, and rate-limited calls far outnumber commits.
    */
   #pause(retryAfterMs: number): void {
     this.#backoffMs = Math.min(MAX_BACKOFF_MS, Math.max(FIRST_BACKOFF_MS, this.#backoffMs * 2));
@@ -181,17 +181,17 @@
     this.#pausedUntilMs = Math.max(this.#pausedUntilMs, Date.now() + Math.ceil(pauseMs));
   }
 
-  /** Refuses at once what could only be sent after its time. */
+  /** Rejects transactions whose time limit ends before the pause does. */
   #rejectHopeless(): void {
     const isHopeless = (entry: Entry): boolean => entry.giveUpAtMs < this.#pausedUntilMs;
     const hopeless = this.#queue.filter(isHopeless);
     this.#queue = this.#queue.filter((entry) => !isHopeless(entry));
     hopeless.forEach((entry) =>
-      entry.reject(new NotSentError('over the rate limit', this.#getRetryAfterMs())),
+      entry.reject(new NotSentError('table rate limit exceeded', this.#getRetryAfterMs())),
     );
   }
 }
 
-/** Whether the error proves that the transaction has not been, and will not be, carried out. */
+/** Whether the error proves that the transaction was not and will not be executed. */
 export const isProvenNotDone = (error: unknown): error is NotSentError | PlatformRefusedError =>
   error instanceof NotSentError || error instanceof PlatformRefusedError;
--- a/packages/claims/src/types.ts
+++ b/packages/claims/src/types.ts
@@ -1,29 +1,29 @@
-/** Claims: the right to run a non-idempotent request, taken once for all time. */
+/** Claims ensure that a non-idempotent request runs at most once. */
 
 export interface ClaimRequest {
   readonly teamUid: string;
   /** The caller's idempotency key. */
   readonly key: string;
-  /** SHA-256 of what the request asks for; another body under the same key is refused. */
+  /** SHA-256 of the request content; a different body under the same key is refused. */
   readonly bodyHash: string;
   readonly deadlineAtMs: number;
 }
 
-/** A claim that this daemon holds. */
+/** A claim held by this daemon. */
 export interface Claim {
   readonly rowKey: string;
-  /** Differs for each attempt to claim, to recognise one's own write after a lost reply. */
+  /** Unique per claim attempt; identifies the attempt's own write after a lost reply. */
   readonly token: string;
   readonly bodyHash: string;
-  /** Version of the claim's row: rises with each claim of the key, for upstreams that check it. */
+  /** Fencing token: the row version, which rises with each claim of the key, for upstreams that check it. */
   readonly fence: number;
 }
 
-/** The answer that a retry gets. */
+/** The answer returned to retries. */
 export interface StoredAnswer {
   readonly status: number;
   readonly contentType: string;
-  /** Text, or base64 of other bytes. */
+  /** UTF-8 text, or base64 for binary content. */
   readonly body: string;
   readonly encoding: 'utf8' | 'base64';
   readonly version?: string;
@@ -38,47 +38,47 @@
 
 export interface ClaimStore {
   /**
-   * Resolves only when it is certain whether the claim is committed. Throws
-   * `ClaimsUnavailableError` when the table is away and nothing may be dispatched.
+   * Resolves only once it is known whether the claim is committed. Throws `ClaimsUnavailableError` if
+   * no claim could be acquired, for example during a table outage; nothing may be dispatched then.
    */
   claim(request: ClaimRequest): Promise<ClaimOutcome>;
-  /** Keeps the answer for retries; lasting in the table when it resolves. */
+  /** Stores the answer for retries; durable in the table once it resolves. */
   finish(claim: Claim, answer: StoredAnswer): Promise<void>;
-  /** Gives the claim back: proven not run, so that a retry may run. */
+  /** Releases a claim whose request is proven not to have run, so that a retry may run. */
   release(claim: Claim): Promise<void>;
-  /** Notes that nobody can tell whether it ran. */
+  /** Records that it is unknown whether the request ran. */
   markUnknown(claim: Claim): Promise<void>;
 }
 
-/** Bounds and times of the claim store. */
+/** Limits and intervals of the claim store. */
 export interface ClaimSettings {
-  /** How long a retry finds the answer of a finished claim. */
+  /** Retention period of the answer of a finished claim. */
   readonly answerRetentionMs: number;
-  /** How long after its deadline a claim of unknown outcome still refuses a second run. */
+  /** Time after the deadline for which a claim with an unknown outcome blocks a second run. */
   readonly unknownRetentionMs: number;
-  /** Larger answers go to the object store. */
+  /** Larger answers are stored in the object store. */
   readonly maxInlineAnswerBytes: number;
-  /** How long the first claim of a batch waits for others. */
+  /** Time the first transaction of a batch waits for others. */
   readonly groupCommitMs: number;
   readonly maxBatch: number;
   readonly maxBatchesInFlight: number;
   readonly maxQueuedTransactions: number;
-  /** Claims held or not yet settled in the table; beyond, new ones are refused. */
+  /** Maximum number of claims that are held or not yet settled in the table; more are refused. */
   readonly maxPendingClaims: number;
-  /** How long a request waits to learn whether its claim is committed. */
+  /** Maximum time a request waits for its claim to commit. */
   readonly maxClaimWaitMs: number;
-  /** Pause before a claim is written again after a lost reply. */
+  /** Delay before a claim write is retried after a lost reply. */
   readonly lostReplyRetryMs: number;
-  /** First pause before an outcome is written again; doubles up to the maximum. */
+  /** Initial retry delay for outcome writes; doubles up to the maximum. */
   readonly settleRetryMs: number;
   readonly maxSettleRetryMs: number;
-  /** How long an answer waits in memory for the table; afterwards the outcome is `unknown`. */
+  /** Maximum time an unwritten answer is held in memory; after it the outcome becomes `unknown`. */
   readonly maxUnwrittenAnswerMs: number;
-  /** How long after its deadline a claim of a live owner still counts as in progress. */
+  /** Time after the deadline for which a claim of a live owner still counts as in progress. */
   readonly deadlineGraceMs: number;
-  /** What a retry is told to wait where nothing better is known. */
+  /** Default retry delay returned to callers. */
   readonly retryAfterMs: number;
   readonly cleanUpPageRows: number;
-  /** Rows deleted by one call of `cleanUp`, each a write of the table's budget. */
+  /** Maximum rows deleted per `cleanUp` call; each counts towards the table's write budget. */
   readonly cleanUpMaxDeletes: number;
 }
