--- a/packages/ledger/src/adopter.ts
+++ b/packages/ledger/src/adopter.ts
@@ -1,4 +1,4 @@
-/** Settles the records of dead owners whose copies this daemon holds. */
+/** Settles the records of dead owners whose replicas this daemon holds. */
 import { getErrorMessage, sleep, type Logger, type Random } from '@snipehaven/common';
 import type { MembershipView } from '@snipehaven/membership';
 import type { TableClient } from '@snipehaven/platform';
@@ -27,11 +27,11 @@
   readonly logger: Logger;
   readonly random: Random;
   readonly settings: LedgerSettings;
-  /** Called with entries that last in the platform now. */
+  /** Called with entries that are now stored durably in the platform. */
   readonly onLasting: (entries: readonly UsageEntry[]) => void;
 }
 
-/** A copy of an open record. */
+/** A replica of an open record. */
 interface HeldOpen {
   readonly held: HeldRecord;
   readonly usage: OpenUsage;
@@ -59,12 +59,12 @@
     this.#deaths = new DeathConfirmer(options.settings);
   }
 
-  /** An owner's message is a sign of life, whatever membership says. */
+  /** A message from an owner shows that it is alive, whatever membership reports. */
   noteAlive(owner: string): void {
     this.#deaths.noteAlive(owner);
   }
 
-  /** Begins to adopt the records of owners that are dead by now. */
+  /** Starts adopting the records of owners that are confirmed dead. */
   check(): void {
     const { held, membership } = this.#options;
     if (this.#isStopped) {
@@ -94,15 +94,15 @@
       held.dropEmptyOwner(owner);
       this.#deaths.forget(owner);
     } catch (error) {
-      logger.error({ owner, error: getErrorMessage(error) }, 'adoption failed');
+      logger.error({ owner, error: getErrorMessage(error) }, 'adoption of usage records failed');
     } finally {
       this.#underWay.delete(owner);
     }
   }
 
   /**
-   * What goes wrong: the adopter dies too while it asks the engines, and nobody knows of the records any
-   * more. They become its own records first, with a copy on its own peer, which adopts them in turn.
+   * The records first become the adopter's own, with a replica on its peer. If the adopter dies while it
+   * asks the engines, the peer adopts them in turn; otherwise they would be lost.
    */
   async #adoptRecords(owner: string, records: readonly HeldRecord[]): Promise<void> {
     await this.#options.taken.take(owner, records);
@@ -119,7 +119,7 @@
     this.#options.timeline.record('usageAdopted', {}, detail);
   }
 
-  /** What the closing does not write goes the way of the own entries; twice would do no harm. */
+  /** Entries not written here are flushed like the own ones; writing an entry twice is harmless. */
   async #closeLedger(owner: string, entries: readonly UsageEntry[]): Promise<void> {
     const { held, table, random, self, settings, onLasting } = this.#options;
     const written = entries.slice(0, settings.maxClosingEntries);
@@ -148,7 +148,7 @@
     await Promise.all(Array.from({ length: adoptionParallelism }, work));
   }
 
-  /** An owner that is back goes on with its request: no more of its runs are cancelled. */
+  /** If the owner is alive again it continues its request, and no more of its runs are cancelled. */
   async #settleOrGiveBack(owner: string, { held, usage }: HeldOpen): Promise<void> {
     await this.#waitForWord(usage.ownedBy);
     if (this.#isStopped) {
@@ -169,9 +169,9 @@
   }
 
   /**
-   * What goes wrong: a daemon passes a suspect's copies on and dies; to settle them now would cut off a
-   * suspect that lives, to drop them would lose the bills of one that is dead. So membership decides
-   * first.
+   * Waits until membership has decided whether a suspect owner is dead. When a daemon passes on a
+   * suspect's replicas and dies, settling them at once would cut off a suspect that is alive, and dropping
+   * them would lose the bills of a dead one.
    */
   async #waitForWord(owner: string | undefined): Promise<void> {
     const { membership, settings } = this.#options;
--- a/packages/ledger/src/billing.ts
+++ b/packages/ledger/src/billing.ts
@@ -1,8 +1,8 @@
-/** Sums folded entries into bills. Pure. */
+/** Sums folded entries into bills. */
 import type { UsageEntry } from '@snipehaven/protocol';
 import type { BillingQuery, BillingRow } from './types.js';
 
-/** Whether a folded entry falls under the query; the interval counts from settlement, end excluded. */
+/** Whether a folded entry matches the query, by settlement time with an exclusive end. */
 export const matchesQuery = (entry: UsageEntry, query: BillingQuery): boolean =>
   (query.team === undefined || entry.team === query.team) &&
   entry.settledAtMs >= (query.fromMs ?? -Infinity) &&
@@ -10,7 +10,7 @@
 
 const getRowKey = (row: BillingRow): string => JSON.stringify([row.team, row.teamUid, row.version]);
 
-/** One entry's share of each version's row; a request counts once in each version that it ran on. */
+/** Splits an entry into one row per version; a request counts once for each version that it ran on. */
 const splitByVersion = (entry: UsageEntry): readonly BillingRow[] => {
   const versions = [...new Set(entry.lines.map((line) => line.version))];
   return versions.map((version) => {
@@ -37,7 +37,7 @@
   costMicroUsd: a.costMicroUsd + b.costMicroUsd,
 });
 
-/** One row for each team and version, in order of both. Entries without lines cost nothing. */
+/** Returns one row per team and version, sorted by both. Entries without lines cost nothing. */
 export const sumBilling = (entries: Iterable<UsageEntry>): readonly BillingRow[] => {
   const rows = new Map<string, BillingRow>();
   for (const entry of entries) {
--- a/packages/ledger/src/closeCursor.ts
+++ b/packages/ledger/src/closeCursor.ts
@@ -1,4 +1,4 @@
-/** Closes a dead owner's ledger, together with writing what its peer holds of it. */
+/** Closes a dead owner's ledger and writes the entries held by its peer in the same transaction. */
 import { sleep } from '@snipehaven/common';
 import type { TableClient } from '@snipehaven/platform';
 import type { UsageEntry } from '@snipehaven/protocol';
@@ -8,16 +8,16 @@
 export interface CursorClosing {
   readonly table: TableClient;
   readonly ledger: string;
-  /** Written with the closing, or not at all. */
+  /** Written atomically with the closing. */
   readonly entries: readonly UsageEntry[];
   readonly closedBy: string;
   readonly token: string;
   readonly timeoutMs: number;
-  /** Whether the owner turned out to live. */
+  /** Whether the owner has turned out to be alive. */
   readonly isOwnerAlive: () => boolean;
 }
 
-/** `closed`: the entries last. Otherwise they don't, and the adopter's own ledger takes them. */
+/** `closed`: the entries are durable. Otherwise the adopter writes them to its own ledger. */
 export type CursorClosingResult = 'closed' | 'closedBefore' | 'ownerAlive' | 'failed';
 
 const MAX_ATTEMPTS = 3;
@@ -39,8 +39,8 @@
 };
 
 /**
- * A few tries, each of which reads the cursor anew: that shows whether a try whose reply was lost took
- * effect (by the token), and where an owner that was only paused has got to.
+ * Makes a few attempts, each of which reads the cursor again. Its token shows whether an attempt whose
+ * reply was lost took effect, and its position how far an owner that was only paused has written.
  */
 export const closeCursor = async (closing: CursorClosing): Promise<CursorClosingResult> => {
   for (let attempt = 1; attempt <= MAX_ATTEMPTS; attempt += 1) {
--- a/packages/ledger/src/constants.ts
+++ b/packages/ledger/src/constants.ts
@@ -1,27 +1,27 @@
-/** Names and bounds of the usage ledger. */
+/** Key prefixes, limits and default settings of the usage ledger. */
 import type { LedgerSettings } from './types.js';
 
 /** Rows of batches: `ledger/<ledger incarnation>/<seq>`. */
 export const LEDGER_PREFIX = 'ledger/';
 /** Rows of cursors: `ledgerCursor/<ledger incarnation>`. */
 export const CURSOR_PREFIX = 'ledgerCursor/';
-/** Objects that batches went to while the table was away. */
+/** Objects for batches spilled while the table was unavailable. */
 export const SPILL_PREFIX = 'ledger-spill/';
-/** Batch numbers are padded so that keys sort by them. */
+/** Batch numbers are zero-padded so that keys sort numerically. */
 export const SEQ_DIGITS = 10;
-/** Joins an incarnation and the count of its ledgers after the first. */
+/** Separates an incarnation from the number of its ledger, from the second ledger on. */
 export const LEDGER_SUFFIX_SEPARATOR = '~';
-/** Settled records that are remembered after their flush, to notice a second settlement. */
+/** Settlements remembered after their flush, to detect a second settlement. */
 export const REMEMBERED_SETTLEMENTS = 4_096;
-/** Rows of one page that a reader scans. */
+/** Rows per page of a scan. */
 export const SCAN_PAGE_ROWS = 100;
 
-/** A batch and its cursor. */
+/** Rows written per batch: the batch and its cursor. */
 export const ROWS_PER_BATCH = 2;
 
 /**
- * At 60 rows a second 400 daemons flush each 13.3 s, 15 and fewer each 0.5 s; in between two VMs hold
- * each record.
+ * At 60 rows per second, 400 daemons flush every 13.3 s each, and 15 or fewer every 0.5 s. Until its flush
+ * each record is held by two VMs.
  */
 export const DEFAULT_LEDGER_SETTINGS: LedgerSettings = {
   minFlushIntervalMs: 500,
--- a/packages/ledger/src/createToken.ts
+++ b/packages/ledger/src/createToken.ts
@@ -1,4 +1,4 @@
-/** Names one try to write, to find it again after a lost reply. */
+/** Creates a token for a write attempt, to recognise it after a lost reply. */
 import type { Random } from '@snipehaven/common';
 
 const TOKEN_RANGE = 2 ** 48;
--- a/packages/ledger/src/deathConfirmer.ts
+++ b/packages/ledger/src/deathConfirmer.ts
@@ -1,12 +1,12 @@
-/** Tells when an owner has been dead for long enough to be adopted. */
+/** Determines when an owner has been dead for long enough to be adopted. */
 export interface DeathConfirmerSettings {
   readonly checkIntervalMs: number;
   readonly adoptAfterMs: number;
 }
 
-/** An owner that membership has never met may just be new there; it gets this much longer. */
+/** An owner unknown to membership may have just joined, so its waiting time is this much longer. */
 const UNSEEN_FACTOR = 12;
-/** Checks further apart than this many intervals mean that this process was paused. */
+/** A gap between checks of more than this many intervals means that this process was paused. */
 const PAUSE_INTERVALS = 3;
 
 export class DeathConfirmer {
@@ -22,7 +22,7 @@
     this.#settings = settings;
   }
 
-  /** Notes a sign of life. */
+  /** Records that the owner is alive. */
   noteAlive(owner: string): void {
     this.#deadSinceMs.delete(owner);
   }
@@ -33,10 +33,9 @@
   }
 
   /**
-   * Takes in membership's present word; returns the owners that have been dead for long enough. What goes
-   * wrong: this process is paused, finds others dead by a stale view when it wakes, and cancels the runs
-   * of daemons that serve. One notices answers cut everywhere after one pause. After a gap between
-   * checks the wait begins anew.
+   * Applies the current membership view; returns the owners that have been dead for long enough. The
+   * wait restarts after a gap between checks: a process that was paused would otherwise take others for
+   * dead by its stale view and cancel the runs of daemons that are serving.
    */
   check(
     owners: readonly string[],
--- a/packages/ledger/src/dueTimer.ts
+++ b/packages/ledger/src/dueTimer.ts
@@ -1,4 +1,4 @@
-/** Calls back once, at the earliest moment asked for. */
+/** One-shot timer that fires at the earliest requested time. */
 export class DueTimer {
   readonly #onDue: () => void;
 
@@ -10,7 +10,7 @@
     this.#onDue = onDue;
   }
 
-  /** Fires after the delay, unless an earlier moment was asked for; 0: after what runs now. */
+  /** Schedules the callback unless an earlier time is set; with 0 it runs after the current callback. */
   set(delayMs: number): void {
     const dueAtMs = Date.now() + delayMs;
     if (dueAtMs >= this.#dueAtMs) {
@@ -27,7 +27,7 @@
     this.#dueAtMs = Infinity;
   }
 
-  /** A timer of 0 ms waits for a whole millisecond, which each request would wait twice. */
+  /** A 0 ms timer takes a whole millisecond, which would delay each request twice. */
   #startImmediate(): () => void {
     const immediate = setImmediate(() => this.#fire());
     return () => clearImmediate(immediate);
--- a/packages/ledger/src/engineAccounts.ts
+++ b/packages/ledger/src/engineAccounts.ts
@@ -1,4 +1,4 @@
-/** What engines say of a dead owner's runs, and the settlement that follows. */
+/** Asks engines about a dead owner's runs and derives the settlement. */
 import { sleep } from '@snipehaven/common';
 import type { OpenUsage, UsageStream } from '@snipehaven/protocol';
 import { StreamUnknownError, type EngineClient, type StreamState } from '@snipehaven/upstream';
@@ -6,7 +6,7 @@
 import { createUsageLine } from './usageCost.js';
 import { withTimeout } from './withTimeout.js';
 
-/** `unknown`: the engine is silent, or may have forgotten a run that ended long ago. */
+/** `unknown`: the engine does not answer, or may have dropped a run that ended long ago. */
 export type StreamAccount =
   | { readonly kind: 'ran'; readonly stream: UsageStream; readonly state: StreamState }
   | { readonly kind: 'notStarted' }
@@ -14,7 +14,7 @@
 
 export type AccountEngines = Pick<EngineClient, 'getState' | 'cancel'>;
 
-/** A record to ask engines for, and since when it is known by the own clock. */
+/** A record to ask engines about, and the local time at which it was received. */
 export interface AccountQuery {
   readonly usage: OpenUsage;
   readonly receivedAtMs: number;
@@ -25,11 +25,11 @@
   'engineTimeoutMs' | 'engineAttempts' | 'engineRetryMs' | 'engineRetentionMs'
 >;
 
-/** No run of the record was handed over before. */
+/** Lower bound for the time at which a run of the record was handed over. */
 const getHandedOverAtMs = (query: AccountQuery): number =>
   Math.min(query.receivedAtMs, query.usage.openedAtMs);
 
-/** The end of a run as the engine states it; a run under way is cancelled first. */
+/** Final state of a run according to the engine; a running one is cancelled first. */
 const fetchFinalState = async (
   engines: AccountEngines,
   stream: UsageStream,
@@ -46,8 +46,8 @@
 };
 
 /**
- * Engines answer "unknown stream" both for a run that never started and for one whose account they have
- * dropped. Only within their time of keeping does it prove the first.
+ * Engines answer "unknown stream" for a run that never started and for one they no longer keep. Only
+ * within their retention period does it prove that the run never started.
  */
 const canProveNotStarted = (query: AccountQuery, bounds: Bounds): boolean =>
   Date.now() - getHandedOverAtMs(query) < bounds.engineRetentionMs;
@@ -77,7 +77,7 @@
   return { kind: 'unknown', stream };
 };
 
-/** Asks for all runs of a record at the same time, each a bounded number of times. */
+/** Asks about all runs of a record concurrently, with a bounded number of attempts each. */
 export const askEngines = (
   engines: AccountEngines,
   query: AccountQuery,
@@ -86,8 +86,8 @@
   Promise.all(query.usage.streams.map((stream) => askEngine(engines, stream, query, bounds)));
 
 /**
- * The settlement by the engines' accounts: delivered tokens make it partial, and what no engine accounts
- * for is never charged. Undefined: every run is proven not started.
+ * Derives the settlement from the engines' answers: delivered tokens make it partial, and tokens that no
+ * engine reports are never charged. Undefined if every run is proven not to have started.
  */
 export const getAdoptedSettlement = (
   accounts: readonly StreamAccount[],
--- a/packages/ledger/src/flushPace.ts
+++ b/packages/ledger/src/flushPace.ts
@@ -1,4 +1,4 @@
-/** When a daemon flushes next, so that all daemons together stay under one rate of writes. */
+/** Computes flush intervals that keep the total write rate of all daemons under a limit. */
 import type { MembershipView } from '@snipehaven/membership';
 import { ROWS_PER_BATCH } from './constants.js';
 import type { FlushResult } from './ledgerFlusher.js';
@@ -27,7 +27,7 @@
     this.#failures = result === 'failed' ? this.#failures + 1 : 0;
   }
 
-  /** Mean time to the next flush; a full batch left over waits for a short gap at most. */
+  /** Mean delay until the next flush; with a backlog it is at most `batchGapMs`, before backoff. */
   getDelayMs(hasBacklog: boolean): number {
     const intervalMs = this.#getIntervalMs();
     const { batchGapMs, maxFlushRetryMs } = this.#settings;
@@ -35,7 +35,7 @@
     return Math.max(dueMs, Math.min(dueMs * 2 ** this.#failures, maxFlushRetryMs));
   }
 
-  /** Each daemon takes an equal part of the rate, as few seconds as that allows. */
+  /** Shortest interval at which each daemon uses an equal share of the write rate. */
   #getIntervalMs(): number {
     const { minFlushIntervalMs, maxTableWritesPerSecond } = this.#settings;
     const daemonCount = Math.max(1, this.#membership.listAlive().length);
--- a/packages/ledger/src/foldEntries.ts
+++ b/packages/ledger/src/foldEntries.ts
@@ -12,7 +12,7 @@
 
 const KEY_SEPARATOR = '\u0000';
 
-/** What makes two entries the same bill. */
+/** Key under which entries are billed once. */
 export const getEntryKey = (entry: Pick<UsageEntry, 'teamUid' | 'requestKey'>): string =>
   `${entry.teamUid}${KEY_SEPARATOR}${entry.requestKey}`;
 
@@ -23,7 +23,7 @@
   return a < b ? -1 : 1;
 };
 
-/** An entry's whole content as text, independent of the order of its fields. */
+/** Serializes an entry's content independently of its field order. */
 export const getEntryText = (entry: UsageEntry): string =>
   JSON.stringify([
     entry.requestId,
@@ -47,10 +47,10 @@
   ]);
 
 /**
- * The order of entries with one key; the first one is billed. Answered comes before partial before
- * unanswered: the caller did get that answer. Then the owner's own word comes before an adopter's,
- * more lines (more is known) before fewer, the earlier settlement before the later. Request id,
- * settler and content break the ties, so the order is total and every reader finds the same winner.
+ * Orders entries with the same key; the first one is billed. Answered precedes partial and unanswered,
+ * because the caller did get that answer. Then entries of the owner precede those of an adopter, more
+ * lines (more is known) precede fewer, and earlier settlements later ones. Request id, settler and
+ * content break ties, so the order is total and all readers choose the same winner.
  */
 export const compareEntries = (a: UsageEntry, b: UsageEntry): number =>
   OUTCOME_RANK[a.outcome] - OUTCOME_RANK[b.outcome] ||
@@ -61,7 +61,7 @@
   compareTexts(a.settledBy, b.settledBy) ||
   compareTexts(getEntryText(a), getEntryText(b));
 
-/** The winners by key. Idempotent, commutative and associative. */
+/** Returns the winning entry of each key. Idempotent, commutative and associative. */
 export const foldEntries = (entries: Iterable<UsageEntry>): ReadonlyMap<string, UsageEntry> => {
   const winners = new Map<string, UsageEntry>();
   for (const entry of entries) {
--- a/packages/ledger/src/handOver.ts
+++ b/packages/ledger/src/handOver.ts
@@ -1,4 +1,4 @@
-/** What a stopping daemon does with the records that it answers for and the copies that it holds. */
+/** Hands over the own records and the held replicas of a daemon that is shutting down. */
 import { getErrorMessage, sleep, type Logger } from '@snipehaven/common';
 import type { MembershipView } from '@snipehaven/membership';
 import type { HeldRecords } from './heldRecords.js';
@@ -23,9 +23,8 @@
 const MAX_RETRY_MS = 2_000;
 
 /**
- * What goes wrong: the platform is away at the first try and back within the time to stop; records left to
- * the peer then hang on that one VM. One notices unflushed records after a short outage. Tries go on
- * until the time is over, which the caller bounds.
+ * Retries until the stop timeout, which the caller enforces. If the platform is unavailable only at the
+ * first attempt, giving up would leave unflushed records that depend on the peer's VM alone.
  */
 const flushAll = async (options: HandOverOptions, isOver: () => boolean): Promise<void> => {
   const { book, flush, spill } = options;
@@ -49,11 +48,11 @@
   try {
     await withTimeout(work, stopTimeoutMs, name);
   } catch (error) {
-    logger.warn({ error: getErrorMessage(error) }, 'usage records were left behind');
+    logger.warn({ error: getErrorMessage(error) }, 'handover of usage records did not complete');
   }
 };
 
-/** Whether another daemon answers for the record: its live owner, or the peer that has its copy. */
+/** Whether another daemon is responsible: the live owner, or the peer that holds the replica. */
 const isElsewhere = (options: HandOverOptions, requestId: string): boolean => {
   const { book, taken, replicator, membership } = options;
   const owner = taken.getOwner(requestId);
@@ -66,11 +65,11 @@
 };
 
 /**
- * What goes wrong: an owner dies, and its holder stops before it adopts; the copies go with it. One
- * notices answered requests without a bill though every shutdown said that nothing was left. All copies
- * become own records: settled ones are written, open ones go to the own peer, which adopts them if
- * their owner is dead. Resolves with the count of records that neither last nor have another daemon
- * that answers for them.
+ * Takes all held replicas over as own records: settled ones are written, open ones are replicated to the
+ * own peer, which adopts them if their owner is dead. If an owner dies and its holder stops before it
+ * adopts, the replicas would otherwise be lost, and answered requests would have no bill although every
+ * shutdown reported nothing left. Resolves with the number of records that are neither durable nor under
+ * the responsibility of another daemon.
  */
 export const handOver = async (options: HandOverOptions): Promise<number> => {
   const { book, held, taken, replicator, stopTimeoutMs } = options;
--- a/packages/ledger/src/heldRecords.ts
+++ b/packages/ledger/src/heldRecords.ts
@@ -1,8 +1,8 @@
-/** The copies of other daemons' records that this daemon holds as their peer. */
+/** Replicas of other daemons' records that this daemon holds as their peer. */
 import type { ReplicateUsage } from '@snipehaven/protocol';
 import type { BookRecord } from './recordBook.js';
 
-/** A copy, and since when it has been here by the own clock. */
+/** A replica and the local time at which it was received. */
 export interface HeldRecord {
   readonly record: BookRecord;
   readonly receivedAtMs: number;
@@ -33,7 +33,7 @@
 export class HeldRecords {
   readonly #owners = new Map<string, Owner>();
 
-  /** Takes in an owner's message; returns how many of its records are held now. */
+  /** Applies an owner's message, unless a later one was applied; returns its number of held records. */
   apply(message: ReplicateUsage): number {
     const owner = this.#owners.get(message.owner) ?? createOwner();
     this.#owners.set(message.owner, owner);
@@ -55,7 +55,7 @@
     return [...this.#owners.keys()];
   }
 
-  /** The incarnation of the owner's ledger as it last said. */
+  /** The incarnation of the owner's ledger, as of its last message. */
   getLedger(owner: string): string {
     return this.#owners.get(owner)?.ledger ?? owner;
   }
@@ -64,12 +64,12 @@
     return [...(this.#owners.get(owner)?.records.values() ?? [])];
   }
 
-  /** Copies of all owners together. */
+  /** Number of replicas over all owners. */
   count(): number {
     return [...this.#owners.values()].reduce((sum, owner) => sum + owner.records.size, 0);
   }
 
-  /** Drops copies that were adopted; one that the owner replaced meanwhile stays. */
+  /** Drops adopted replicas, except those that the owner has replaced in the meantime. */
   dropAdopted(owner: string, adopted: readonly HeldRecord[]): void {
     const records = this.#owners.get(owner)?.records;
     adopted.forEach((held) => {
@@ -81,7 +81,7 @@
     });
   }
 
-  /** Drops an owner that is gone for good and of which nothing is held. */
+  /** Removes a permanently gone owner if no records of it are held. */
   dropEmptyOwner(owner: string): void {
     if (this.#owners.get(owner)?.records.size === 0) {
       this.#owners.delete(owner);
--- a/packages/ledger/src/ledgerFlusher.ts
+++ b/packages/ledger/src/ledgerFlusher.ts
@@ -33,17 +33,17 @@
   readonly logger: Logger;
   readonly random: Random;
   readonly settings: LedgerSettings;
-  /** Called with entries that last in the platform now. */
+  /** Called with entries that are now stored durably in the platform. */
   readonly onLasting: (entries: readonly UsageEntry[]) => void;
 }
 
-/** A batch keeps its content until its outcome is known. */
+/** Content stays unchanged until the outcome of the write is known. */
 interface Batch {
   readonly token: string;
   readonly entries: readonly UsageEntry[];
 }
 
-/** `revived`: the ledger had been closed, and a new one is begun; the next try writes to it. */
+/** `revived`: the ledger was closed; the next attempt writes to a new one. */
 export type FlushResult = 'flushed' | 'revived' | 'empty' | 'failed';
 
 export class LedgerFlusher {
@@ -67,7 +67,7 @@
     return this.#ledger;
   }
 
-  /** Tries to write one batch. Must not be called again before it resolves. */
+  /** Attempts to write one batch. Must not be called concurrently. */
   async flushBatch(): Promise<FlushResult> {
     const batch = this.#batch ?? this.#createBatch();
     if (!batch) {
@@ -115,7 +115,7 @@
 
   async #onError(batch: Batch, error: unknown): Promise<FlushResult> {
     const detail = { error: getErrorMessage(error), ledger: this.#ledger };
-    this.#options.logger.warn(detail, 'a ledger batch was not written');
+    this.#options.logger.warn(detail, 'failed to write a ledger batch');
     if (error instanceof PlatformRefusedError) {
       return 'failed';
     }
@@ -123,16 +123,19 @@
   }
 
   /**
-   * What goes wrong: the reply to a write is lost after it took effect, and the batch would be written once
-   * more under the next number. One notices two rows with the same entries. The row is read back and
-   * known by the batch's own token; while that can't be read, the batch stays as it is.
+   * Reads the row back after a lost reply and recognises it by the batch's token; while it cannot be read,
+   * the batch stays unchanged. Otherwise a batch whose write took effect would be written again under the
+   * next number, and two rows would hold the same entries.
    */
   async #readBack(batch: Batch): Promise<FlushResult> {
     const keys = [getCursorKey(this.#ledger), this.#getBatchKey()];
     try {
       return await this.#onRows(batch, await this.#bound(this.#options.table.read(keys)));
     } catch (error) {
-      this.#options.logger.warn({ error: getErrorMessage(error) }, 'no read back of a batch');
+      this.#options.logger.warn(
+        { error: getErrorMessage(error) },
+        'failed to read back a ledger batch',
+      );
       return 'failed';
     }
   }
@@ -159,9 +162,9 @@
   }
 
   /**
-   * What goes wrong: this process was paused, a peer held it dead, wrote its settled entries and closed its
-   * cursor; going on with the old ledger would race the adopter. One notices the closed cursor. A new
-   * ledger is begun, and only what the adopter's batches lack moves there.
+   * Starts a new ledger after a peer closed the cursor and wrote the settled entries, because it
+   * considered this process dead during a pause. Continuing the old ledger would race the adopter. Only
+   * entries missing from the adopter's batches move to the new ledger.
    */
   async #revive(closed: PresentCursor): Promise<void> {
     const written = foldEntries(await this.#readClosingBatches(closed));
@@ -175,7 +178,10 @@
     this.#ledger = `${this.#options.self}${LEDGER_SUFFIX_SEPARATOR}${this.#generation}`;
     this.#cursor = NEW_CURSOR;
     this.#batch = undefined;
-    this.#options.logger.warn({ ledger: this.#ledger, closedBy }, 'the ledger was closed; anew');
+    this.#options.logger.warn(
+      { ledger: this.#ledger, closedBy },
+      'ledger was closed by a peer; starting a new one',
+    );
     this.#options.onLasting(lasting);
   }
 
--- a/packages/ledger/src/ledgerRows.ts
+++ b/packages/ledger/src/ledgerRows.ts
@@ -1,4 +1,4 @@
-/** The rows of the ledger in the table: their keys, forms and conditional writes. */
+/** Table rows of the ledger: keys, schemas and conditional writes. */
 import { z } from 'zod';
 import { usageEntrySchema, type UsageEntry } from '@snipehaven/protocol';
 import type { TableRow, TableTransaction } from '@snipehaven/platform';
@@ -7,7 +7,7 @@
 
 const batchSchema = z.object({ token: z.string(), entries: z.array(usageEntrySchema) });
 
-/** One row: entries that were written together. `token` names the try, to find it again. */
+/** One row of entries written together. `token` identifies the write attempt. */
 export type LedgerBatch = z.infer<typeof batchSchema>;
 
 const cursorSchema = z.object({
@@ -17,10 +17,10 @@
   token: z.string(),
 });
 
-/** How far one incarnation's ledger has come, and whether it may still be written. */
+/** The next batch number of an incarnation's ledger, and whether the ledger is still open. */
 export type LedgerCursor = z.infer<typeof cursorSchema>;
 
-/** A cursor with the version of its row; version 0 means that there is no row yet. */
+/** A cursor with its row version; version 0 means that the row does not exist yet. */
 export interface PresentCursor {
   readonly cursor: LedgerCursor;
   readonly version: number;
@@ -34,13 +34,13 @@
 export const getCursorKey = (ledger: string): string => `${CURSOR_PREFIX}${ledger}`;
 
 /**
- * The name of a spilled batch. Names travel in URLs, where the `#` of an incarnation would cut the rest
- * of the name off and all batches of a VM would overwrite each other; so only plain characters stay.
+ * The object name of a spilled batch, restricted to URL-safe characters. Names are sent in URLs, where
+ * the `#` of an incarnation would truncate the name, and all batches of a VM would overwrite each other.
  */
 export const getSpillName = (ledger: string, seq: number): string =>
   `${SPILL_PREFIX}${ledger.replace(/[^\w.~-]/g, '_')}/${padSeq(seq)}`;
 
-/** The gate for rows and objects of entries. */
+/** Validates a batch from a row or object; throws `LedgerDataError`. */
 export const restoreBatch = (value: unknown, name: string): LedgerBatch => {
   const parsed = batchSchema.safeParse(value);
   if (!parsed.success) {
@@ -63,14 +63,14 @@
   version: 0,
 };
 
-/** Finds the ledger's cursor among rows that were read; a missing one is new. */
+/** Finds the ledger's cursor among the rows; a missing one yields a new cursor. */
 export const findCursor = (ledger: string, rows: readonly TableRow[]): PresentCursor => {
   const key = getCursorKey(ledger);
   const row = rows.find((candidate) => candidate.key === key);
   return row ? { cursor: restoreCursor(row.value, key), version: row.version } : NEW_CURSOR;
 };
 
-/** Whether the rows show that the try with the token took effect. */
+/** Whether the rows show that the write attempt with this token took effect. */
 export const hasToken = (
   ledger: string,
   seq: number,
@@ -82,7 +82,7 @@
   return row !== undefined && restoreBatch(row.value, key).token === token;
 };
 
-/** What a batch is to be written as. */
+/** Input for the transaction that writes a batch. */
 export interface BatchWrite {
   readonly ledger: string;
   readonly at: PresentCursor;
@@ -93,8 +93,8 @@
 }
 
 /**
- * Writes the batch and moves the cursor, or neither. The cursor's version is what keeps an owner and its
- * adopter from both going on with the ledger: one of them meets a conflict and sees the other's word.
+ * Writes the batch and advances the cursor atomically. The condition on the cursor's version prevents an
+ * owner and its adopter from both continuing the ledger: one of them gets a conflict and the other's row.
  */
 export const createBatchTransaction = (write: BatchWrite): TableTransaction => {
   const { nextSeq } = write.at.cursor;
--- a/packages/ledger/src/ledgerSpiller.ts
+++ b/packages/ledger/src/ledgerSpiller.ts
@@ -1,4 +1,4 @@
-/** Writes settled entries to the object store while the table is away for long. */
+/** Writes settled entries to the object store during long table outages. */
 import { getErrorMessage, type Logger } from '@snipehaven/common';
 import type { ObjectStoreClient } from '@snipehaven/platform';
 import type { UsageEntry } from '@snipehaven/protocol';
@@ -16,11 +16,11 @@
   readonly timeline: TimelineRecorder;
   readonly logger: Logger;
   readonly settings: LedgerSettings;
-  /** Called with entries that last in the platform now. */
+  /** Called with entries that are now stored durably in the platform. */
   readonly onLasting: (entries: readonly UsageEntry[]) => void;
 }
 
-/** An object keeps its name and content until it is known to be stored. */
+/** Name and content stay unchanged until the object is known to be stored. */
 interface Spill {
   readonly name: string;
   readonly entries: readonly UsageEntry[];
@@ -37,7 +37,7 @@
     this.#options = options;
   }
 
-  /** Stores the oldest entries until no more than the threshold are left, or the store fails. */
+  /** Spills the oldest entries until at most the threshold is left, or the object store fails. */
   async spillAbove(thresholdRecords: number): Promise<void> {
     const { book } = this.#options;
     let isStored = true;
@@ -47,8 +47,8 @@
   }
 
   /**
-   * A put whose reply was lost is repeated under the same name with the same bytes, so that it changes
-   * nothing. Entries that the table turns out to hold too are folded like any written twice.
+   * A put whose reply was lost is repeated with the same name and bytes, which makes it idempotent.
+   * Entries that are in the table too are deduplicated by the fold.
    */
   async #storeNext(): Promise<boolean> {
     this.#spill ??= this.#createSpill();
@@ -58,7 +58,7 @@
     } catch (error) {
       this.#options.logger.warn(
         { error: getErrorMessage(error) },
-        'a ledger batch was not spilled',
+        'failed to spill a ledger batch',
       );
       return false;
     }
--- a/packages/ledger/src/peerChoice.ts
+++ b/packages/ledger/src/peerChoice.ts
@@ -1,12 +1,12 @@
-/** Which daemon holds the copy of this daemon's records. */
+/** Chooses the daemon that holds the replica of this daemon's records. */
 import { rankByRendezvous } from '@snipehaven/common';
 import type { MembershipView } from '@snipehaven/membership';
 import type { Member } from '@snipehaven/protocol';
 
 /**
- * Members of other VMs, those of the own data centre first, each group by falling rendezvous weight. A
- * member that comes or goes changes the first place of few owners only. Suspects come last: the copy on
- * one that is dead is none, and the owner may be killed before membership is sure.
+ * Members on other VMs, those in the own data centre first, each group by descending rendezvous weight, so
+ * that a membership change moves the first place of few owners only. Suspects come last: a replica on a
+ * dead one is lost, and the owner may be killed before membership confirms the death.
  */
 export const rankPeers = (self: Member, members: readonly Member[]): readonly Member[] => {
   const others = members.filter((member) => member.vm !== self.vm);
@@ -30,9 +30,9 @@
 }
 
 /**
- * What goes wrong: membership holds a peer alive that does not answer us (a cut link, a long pause), and
- * each admission waits for a timeout. One notices first tokens late by just that time. A peer that
- * failed is passed over, for twice as long with each failure in a row.
+ * Skips a peer that failed, for twice as long with each consecutive failure. A peer that membership
+ * considers alive may not answer (network partition, long pause); each admission would then wait for a
+ * timeout, and first tokens would be late by that time.
  */
 export class PeerChoice {
   readonly #membership: MembershipView;
@@ -48,12 +48,12 @@
     this.#settings = settings;
   }
 
-  /** Ranks anew at the next choice; to be called when members changed. */
+  /** Ranks the peers again at the next choice; to be called when members change. */
   refresh(): void {
     this.#ranked = undefined;
   }
 
-  /** The best peer that is not passed over. */
+  /** The best-ranked peer without a penalty. */
   getBest(): Member | undefined {
     this.#ranked ??= this.#rank();
     return this.#ranked.find((member) => !this.#isPenalised(member.incarnation));
--- a/packages/ledger/src/peerReleases.ts
+++ b/packages/ledger/src/peerReleases.ts
@@ -1,7 +1,7 @@
 /**
- * Former peers that still hold a copy. What goes wrong: such a peer outlives the owner and adopts records
- * that the owner settled long ago, asking engines for them again. One notices adopted entries beside
- * the owner's. So each former peer is told, until it answers or is dead, to drop its copy.
+ * Tells former peers to drop their replicas, until each one answers or is dead. A former peer that
+ * outlives the owner would otherwise adopt records that the owner settled long ago, ask engines for them
+ * again, and add adopted entries to those of the owner.
  */
 import type { MembershipView } from '@snipehaven/membership';
 import type { Member } from '@snipehaven/protocol';
@@ -28,7 +28,7 @@
     }
   }
 
-  /** The member is the peer again: its copy begins anew anyway. */
+  /** The member is the peer again, and its replica is rebuilt anyway. */
   cancel(peer: Member | undefined): void {
     if (peer) {
       this.#former.delete(peer.incarnation);
@@ -36,8 +36,8 @@
   }
 
   /**
-   * Tells all former peers that live. To be called only while another peer holds the whole copy: until
-   * then the old one, though it did not answer, may be the only one that has it.
+   * Tells all live former peers. To be called only while another peer holds the whole book, or the book
+   * is empty: until then a former peer, even if it did not answer, may hold the only replica.
    */
   sendDue(): void {
     this.#former.forEach((peer) => {
@@ -49,7 +49,7 @@
     });
   }
 
-  /** As `sendDue`, for the last time; resolves when all have answered or failed. */
+  /** As `sendDue`, before a shutdown; resolves when all have answered or failed. */
   async sendAll(): Promise<void> {
     const alive = [...this.#former.values()].filter((peer) =>
       this.#membership.isIncarnationAlive(peer.incarnation),
@@ -63,7 +63,7 @@
       await this.#release(peer);
       this.#former.delete(peer.incarnation);
     } catch {
-      // The next check tries again.
+      // Retried at the next check.
     } finally {
       this.#underWay.delete(peer.incarnation);
     }
--- a/packages/ledger/src/readSpills.ts
+++ b/packages/ledger/src/readSpills.ts
@@ -1,10 +1,10 @@
-/** Batches in the object store: how they are written there and read back. */
+/** Encodes and reads batches in the object store. */
 import type { ObjectStoreClient } from '@snipehaven/platform';
 import { SPILL_PREFIX } from './constants.js';
 import { LedgerDataError } from './errors.js';
 import { restoreBatch, type LedgerBatch } from './ledgerRows.js';
 
-/** A batch as the bytes of an object. */
+/** Encodes a batch as object content. */
 export const encodeBatch = (batch: LedgerBatch): Uint8Array => Buffer.from(JSON.stringify(batch));
 
 const decodeJson = (bytes: Uint8Array, name: string): unknown => {
@@ -15,7 +15,7 @@
   }
 };
 
-/** Reads all spilled batches, in order of their names. */
+/** Reads all spilled batches, ordered by name. */
 export const readSpills = async (store: ObjectStoreClient): Promise<readonly LedgerBatch[]> => {
   const batches: LedgerBatch[] = [];
   for (const name of await store.list(SPILL_PREFIX)) {
--- a/packages/ledger/src/recordBook.ts
+++ b/packages/ledger/src/recordBook.ts
@@ -1,16 +1,16 @@
-/** The records that this daemon answers for: open ones, and settled ones that do not last yet. */
+/** The records this daemon is responsible for: open ones, and settled ones that are not durable yet. */
 import { invariant } from '@snipehaven/common';
 import type { OpenUsage, UsageEntry, UsageStream } from '@snipehaven/protocol';
 import { REMEMBERED_SETTLEMENTS } from './constants.js';
 import { compareEntries, getEntryText } from './foldEntries.js';
 import type { Settlement } from './types.js';
 
-/** A record in the form that the peer keeps. */
+/** A record in the form that is replicated to the peer. */
 export type BookRecord =
   | { readonly kind: 'open'; readonly usage: OpenUsage }
   | { readonly kind: 'settled'; readonly entry: UsageEntry };
 
-/** Who settles, and whether for a dead owner. */
+/** Who settles a record, and whether on behalf of a dead owner. */
 export interface Settler {
   readonly settledBy: string;
   readonly isAdopted: boolean;
@@ -43,7 +43,7 @@
   /** In order of settlement. */
   readonly #settled = new Map<string, UsageEntry>();
 
-  /** Texts of the latest settlements by request id, those already flushed included. */
+  /** Serialized recent settlements by request id, including flushed ones, to detect duplicates. */
   readonly #remembered = new Map<string, string>();
 
   get pendingCount(): number {
@@ -84,8 +84,8 @@
   }
 
   /**
-   * Settles an open record; returns the entry, or undefined for a repetition. A second settlement of
-   * other content would bill one request two ways: the first one stands.
+   * Settles an open record; returns the entry, or undefined if it was settled before. The first
+   * settlement stands, since a second one with other content would bill the request in two ways.
    */
   settle(requestId: string, settlement: Settlement, settler: Settler): UsageEntry | undefined {
     const usage = this.#open.get(requestId);
@@ -105,7 +105,7 @@
     return entry;
   }
 
-  /** Forgets an open record; returns whether there was one. */
+  /** Removes an open record; returns whether there was one. */
   discard(requestId: string): boolean {
     const isUnsettled = !this.#remembered.has(requestId);
     invariant(isUnsettled, 'billedOnce', `${requestId} was discarded after its settlement`);
@@ -113,9 +113,9 @@
   }
 
   /**
-   * Takes over a dead owner's record. What goes wrong: two chains of adoption end here, one with the owner's
-   * answered entry and one with an adopter's partial one; the later would replace the better. One
-   * notices an answered request billed as partial. The entry that wins the fold stays.
+   * Takes over a dead owner's record and keeps the entry that wins the fold. Two chains of adoption can
+   * end here, one with the owner's answered entry and one with an adopter's partial entry; if the later
+   * one replaced the other, an answered request could be billed as partial.
    */
   adopt(record: BookRecord): void {
     if (record.kind === 'settled') {
@@ -129,12 +129,12 @@
     this.#open.set(record.usage.requestId, record.usage);
   }
 
-  /** Drops the copy of an owner's open record when the owner turns out to live. */
+  /** Drops the replica of an open record whose owner turns out to be alive. */
   giveBack(requestId: string): void {
     this.#open.delete(requestId);
   }
 
-  /** The entries that have waited longest. */
+  /** Returns the oldest settled entries. */
   listSettled(limit: number): readonly UsageEntry[] {
     const entries: UsageEntry[] = [];
     for (const entry of this.#settled.values()) {
@@ -146,7 +146,7 @@
     return entries;
   }
 
-  /** Removes entries that last in the platform now; one that was replaced meanwhile stays. */
+  /** Removes entries that are durable now, except those that were replaced in the meantime. */
   removeLasting(entries: readonly UsageEntry[]): void {
     entries.forEach((entry) => {
       const present = this.#settled.get(entry.requestId);
--- a/packages/ledger/src/replicatedUsageLedger.ts
+++ b/packages/ledger/src/replicatedUsageLedger.ts
@@ -1,4 +1,4 @@
-/** The usage ledger of one daemon: its own records, and the copies it holds for others. */
+/** The usage ledger of one daemon: its own records, and the replicas it holds for others. */
 import {
   getErrorMessage,
   spawnHandlerActor,
@@ -32,31 +32,31 @@
   UsageLedger,
 } from './types.js';
 
-/** `backlog` writes one batch and spills if need be; `all` writes until nothing is left or a try fails. */
+/** `backlog` writes one batch and spills if needed; `all` writes until nothing is left or a write fails. */
 interface FlushMessage {
   readonly type: 'backlog' | 'all';
   readonly done: () => void;
 }
 
-/** Intervals vary by this share, so that daemons don't flush in step. */
+/** Jitter as a share of the interval, so that daemons do not flush at the same time. */
 const JITTER_SHARE = 0.2;
 
 export class ReplicatedUsageLedger implements UsageLedger {
   /**
-   * Answers other daemons' messages. What goes wrong: a new daemon at a dead one's address takes the copy
-   * meant for the dead one; the owner moves on and never releases it, and the copy grows stale. One
-   * notices adopted entries beside the owner's. So a message for another incarnation is refused. A copy
-   * that comes while this daemon hands over would be lost with it: the owner turns to its next peer. The
-   * word to forget a record is taken in to the end, or it would be handed over in vain.
+   * Handles messages of other daemons. Messages for another incarnation are refused: a new daemon at a
+   * dead one's address would take its replica, which the owner never releases, and later add adopted
+   * entries to the owner's. Replicas are refused during the handover, since they would be lost with this
+   * daemon; the owner chooses its next peer. Removals are accepted until the end, since the removed
+   * records would otherwise be handed over needlessly.
    */
   readonly handlers: UsageHandlers = {
     replicate: async (message) => {
       const isCopy = message.opened.length + message.settled.length > 0;
       if (this.#state === 'stopped' || (this.#state === 'stopping' && isCopy)) {
-        throw new LedgerStoppedError('this daemon holds no more copies');
+        throw new LedgerStoppedError('this daemon is stopping and accepts no replicas');
       }
       if (message.peer !== this.#options.self) {
-        throw new WrongPeerError(`meant for ${message.peer}`);
+        throw new WrongPeerError(`message meant for ${message.peer}`);
       }
       this.#adopter.noteAlive(message.owner);
       const held = this.#held.apply(message);
@@ -127,7 +127,7 @@
     );
   }
 
-  /** Begins to flush and to watch over owners and peers. */
+  /** Starts the periodic flush and the checks of owners and peers. */
   start(): void {
     this.#scheduleFlush();
     this.#checkTimer = setInterval(() => this.#check(), this.#settings.checkIntervalMs);
@@ -169,7 +169,7 @@
     return this.#book.pendingCount;
   }
 
-  /** Copies of other daemons' records held here; given an owner, of its own. */
+  /** Number of replicas held for other daemons, or for the given owner only. */
   getHeldCount(owner?: string): number {
     return owner === undefined ? this.#held.count() : this.#held.list(owner).length;
   }
@@ -180,9 +180,9 @@
   }
 
   /**
-   * Stops: opens and holds nothing more, flushes what is its own and what it holds settled, spills what
-   * the table does not take, and makes sure that the peer holds the rest. Resolves with the count of
-   * records that do not last: own ones left to the peer, others' that nobody answers for.
+   * Stops accepting records, flushes the own and the held settled ones, spills what the table does not
+   * accept, and replicates the rest to the peer. Resolves with the number of records that are not durable:
+   * own ones left to the peer, and those of others for which no daemon is responsible.
    */
   async stop(): Promise<number> {
     if (this.#state !== 'running') {
@@ -232,10 +232,10 @@
   }
 
   /**
-   * What goes wrong: an owner is killed, and its holder before it adopts, ten seconds later; one copy is too
-   * few for so long. One notices answered requests without a bill after two kills. At the first
-   * suspicion the copies become own records too, with a copy on the own peer, and settled ones are
-   * written at once; an owner that lives gets its open ones back.
+   * When an owner becomes suspect, its replicas also become own records, with a replica on the own peer,
+   * and settled ones are written at once; an owner that is alive gets its open ones back. Adoption takes
+   * about ten seconds, during which a single replica is too few: if owner and holder were both killed,
+   * answered requests would have no bill.
    */
   #onMember({ incarnation, state }: Member): void {
     this.#replicator.check();
--- a/packages/ledger/src/replicator.ts
+++ b/packages/ledger/src/replicator.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps a copy of the book's records on one peer. Changes that come within a few milliseconds, or while a
- * call is under way, go in one message.
+ * Replicates the book's records to one peer. Changes that arrive within `replicateBatchMs`, or while a
+ * call is in flight, are sent in one message.
  */
 import {
   getErrorMessage,
@@ -30,7 +30,7 @@
   readonly timeline: TimelineRecorder;
   readonly logger: Logger;
   readonly settings: LedgerSettings;
-  /** The incarnation of the own ledger, which changes after a revival. */
+  /** The incarnation of the own ledger, which changes when a closed ledger is replaced by a new one. */
   readonly getLedger: () => string;
 }
 
@@ -40,7 +40,7 @@
   readonly type: 'send';
 }
 
-/** One message on its way: what it carries and who waits for it. */
+/** A message in flight, with its record ids and the callers that wait for it. */
 interface Sending {
   readonly message: ReplicateUsage;
   readonly ids: readonly string[];
@@ -64,13 +64,13 @@
 
   readonly #waiters = new Waiters();
 
-  /** Changed since the peer's copy. */
+  /** Records changed since they were last replicated. */
   readonly #dirty = new Set<string>();
 
-  /** Gone from the book, still at the peer. */
+  /** Records removed from the book but not yet from the peer. */
   readonly #forgotten = new Set<string>();
 
-  /** What the peer holds. */
+  /** Records that the peer holds. */
   readonly #copied = new Set<string>();
 
   readonly #timer = new DueTimer(() => this.#actor.tell({ type: 'send' }));
@@ -79,7 +79,7 @@
 
   #needsFull = true;
 
-  /** Whether the peer has had the whole book since it became the peer. */
+  /** Whether the whole book has been replicated to the current peer. */
   #isWhole = false;
 
   #isSending = false;
@@ -100,16 +100,17 @@
       options.system,
       'usageReplicator',
       { send: () => this.#sendAll() },
-      (error) => options.logger.error({ error: getErrorMessage(error) }, 'replication failed'),
+      (error) =>
+        options.logger.error({ error: getErrorMessage(error) }, 'usage record replication failed'),
     );
   }
 
-  /** The peer that holds the copy. */
+  /** The peer that holds the replica. */
   get peer(): Member | undefined {
     return this.#peer;
   }
 
-  /** Brings the peer's copy of a record up to date; resolves when it is, or no peer is alive. */
+  /** Replicates a record; resolves when the peer has its current state, or no peer is alive. */
   replicate(requestId: string): Promise<void> {
     this.#dirty.add(requestId);
     const done = this.#waiters.wait(requestId);
@@ -117,7 +118,7 @@
     return done;
   }
 
-  /** Tells the peer, with some later message, that a record is no more. */
+  /** Tells the peer, in a later message, that a record was removed. */
   forget(requestId: string): void {
     this.#dirty.delete(requestId);
     this.#waiters.resolve(requestId);
@@ -127,7 +128,7 @@
     }
   }
 
-  /** Looks whether another peer is best by now; if so, all that is in the book goes to it. */
+  /** Replicates the whole book to another peer if that one now ranks best. */
   check(): void {
     this.#choice.refresh();
     const hasRecords = this.#options.book.pendingCount > 0;
@@ -139,20 +140,20 @@
     }
   }
 
-  /** Resolves when the peer holds the whole book, or no peer is alive. */
+  /** Resolves once the peer holds the whole book, or if no peer is alive. */
   async replicateAll(): Promise<void> {
     await Promise.all(this.#options.book.listIds().map((id) => this.replicate(id)));
   }
 
-  /** Whether the peer holds the record as it is now. */
+  /** Whether the peer holds the current state of the record. */
   hasCopy(requestId: string): boolean {
     return this.#copied.has(requestId) && !this.#dirty.has(requestId);
   }
 
   /**
-   * What goes wrong: an owner stops before the word that its peer may forget a record went out; the peer
-   * takes it for left behind, asks engines for it, and reports it as its own loss when it stops too. So
-   * the peer and the former ones are told before the owner leaves. Resolves when they were, or are away.
+   * Sends outstanding removals to the current and former peers before a shutdown; resolves when they
+   * were told or cannot be reached. Otherwise the peer would treat such a record as left behind, ask
+   * engines for it, and report it as its own loss when it stops too.
    */
   async tellForgotten(): Promise<void> {
     while (this.#forgotten.size > 0) {
@@ -227,12 +228,12 @@
     this.#options.book.listIds().forEach((id) => this.#dirty.add(id));
   }
 
-  /** With no other VM alive there is nobody to hold a copy: serving goes on, and the time line says so. */
+  /** Without another live VM nothing can be replicated: serving goes on, and the timeline records it. */
   #goOnAlone(): void {
     if (!this.#isAlone) {
       this.#isAlone = true;
       this.#options.timeline.record('platformLost', {}, { service: 'usageReplica' });
-      this.#options.logger.warn('no peer holds a copy of the usage records');
+      this.#options.logger.warn('no peer available to replicate usage records');
     }
     this.#dirty.clear();
     this.#waiters.resolveAll();
@@ -267,7 +268,7 @@
     return { ...names, seq: this.#seq, isFull, ...empty };
   }
 
-  /** `getPeer` for each call: the transport may have dropped the connection after a failure. */
+  /** Calls `getPeer` each time, since the transport may have dropped the connection after a failure. */
   #call(peer: Member, message: ReplicateUsage): Promise<{ readonly held: number }> {
     return withTimeout(
       this.#options.transport.getPeer(peer.address).usage.replicate(message),
@@ -287,7 +288,7 @@
     this.#checkCopy(peer, held);
   }
 
-  /** A record may have left the book while the message was under way. */
+  /** The record may have been removed from the book while the message was in flight. */
   #noteCopied(requestId: string): void {
     this.#copied.add(requestId);
     if (!this.#options.book.getRecord(requestId)) {
@@ -296,9 +297,9 @@
   }
 
   /**
-   * What goes wrong: the peer lost its copy (it adopted the records while this process was paused, or was
-   * replaced at its address) and later messages carry only changes, so the older records have no
-   * copy. One notices that it holds another count than it was sent: the copy begins anew.
+   * Restarts replication if the peer holds a different number of records than it was sent. It may have
+   * lost its replica by adopting the records while this process was paused, or by being replaced at its
+   * address; later messages carry only changes, so older records would stay without a replica.
    */
   #checkCopy(peer: Member, held: number): void {
     const isDue = Date.now() - this.#resyncedAtMs >= this.#options.settings.checkIntervalMs;
@@ -306,15 +307,18 @@
       return;
     }
     const counts = { vm: peer.vm, held, expected: this.#copied.size };
-    this.#options.logger.warn(counts, 'the peer lost its copy of usage records');
+    this.#options.logger.warn(
+      counts,
+      'peer holds an unexpected number of usage records; replicating again',
+    );
     this.#resyncedAtMs = Date.now();
     this.#beginCopy();
   }
 
-  /** Whether the message took effect is unknown: the next peer gets everything. */
+  /** It is unknown whether the message took effect, so the next peer gets the whole book. */
   #onUnanswered(peer: Member, sending: Sending, error: unknown): void {
     const detail = { vm: peer.vm, error: getErrorMessage(error) };
-    this.#options.logger.warn(detail, 'the peer of the usage records did not answer');
+    this.#options.logger.warn(detail, 'replication of usage records to the peer failed');
     this.#choice.penalise(peer);
     this.#releases.add(peer);
     this.#peer = undefined;
--- a/packages/ledger/src/tableLedgerReader.ts
+++ b/packages/ledger/src/tableLedgerReader.ts
@@ -1,4 +1,4 @@
-/** Reads the whole ledger back: rows of the table and objects of outages, folded. */
+/** Reads the whole ledger: table rows and batches spilled during outages, folded. */
 import type { UsageEntry } from '@snipehaven/protocol';
 import type { ObjectStoreClient, TableClient } from '@snipehaven/platform';
 import { matchesQuery, sumBilling } from './billing.js';
@@ -14,8 +14,8 @@
 }
 
 /**
- * Each call scans all batches: one read a page of rows. There is no compaction yet, so the cost grows
- * with the ledger. Throws the platform's errors, for a bill of part of the ledger would be wrong.
+ * Each call scans all batches, with one read per page of rows. There is no compaction, so the cost grows
+ * with the ledger. Platform errors are thrown, since a bill from part of the ledger would be wrong.
  */
 export class TableLedgerReader implements LedgerReader {
   readonly #table: TableClient;
@@ -31,7 +31,7 @@
     return sumBilling(await this.listEntries(query));
   }
 
-  /** Filters after the fold: the winner of a key decides, not whichever entry the query meets. */
+  /** Filters after the fold, so that only the winning entry of each key is matched. */
   async listEntries(query: BillingQuery): Promise<readonly UsageEntry[]> {
     const written = await this.#scanTable();
     const spilled = (await readSpills(this.#objectStore)).flatMap((batch) => batch.entries);
--- a/packages/ledger/src/takenRecords.ts
+++ b/packages/ledger/src/takenRecords.ts
@@ -1,4 +1,4 @@
-/** Other daemons' records that are in the own book too, with a copy on the own peer. */
+/** Other daemons' records that are also in the own book, with a replica on the own peer. */
 import type { HeldRecord } from './heldRecords.js';
 import type { BookRecord, RecordBook } from './recordBook.js';
 import type { Replicator } from './replicator.js';
@@ -6,7 +6,7 @@
 export const getRequestId = (record: BookRecord): string =>
   record.kind === 'open' ? record.usage.requestId : record.entry.requestId;
 
-/** The copy as it goes on to the own peer, which must not take it for this daemon's request. */
+/** Adds the owner, so that the own peer does not treat the record as this daemon's request. */
 const nameOwner = (record: BookRecord, owner: string): BookRecord =>
   record.kind === 'open'
     ? { kind: 'open', usage: { ...record.usage, ownedBy: record.usage.ownedBy ?? owner } }
@@ -17,7 +17,7 @@
 
   readonly #replicator: Replicator;
 
-  /** From whose copies a record was taken, by request id. */
+  /** Owners of the records, by request id. */
   readonly #owners = new Map<string, string>();
 
   constructor(book: RecordBook, replicator: Replicator) {
@@ -25,14 +25,14 @@
     this.#replicator = replicator;
   }
 
-  /** Takes an owner's records into the book; resolves when the own peer holds them, or none is alive. */
+  /** Adds an owner's records to the book; resolves when the own peer holds them, or none is alive. */
   async take(owner: string, records: readonly HeldRecord[]): Promise<void> {
     const present = new Set(records.map(({ record }) => getRequestId(record)));
     this.#dropOpen(owner, (requestId) => !present.has(requestId));
     await Promise.all(records.map(({ record }) => this.#takeOne(owner, record)));
   }
 
-  /** Drops an owner's open records: it lives and settles them itself. */
+  /** Drops the open records of an owner that is alive and settles them itself. */
   giveBack(owner: string): void {
     this.#dropOpen(owner, () => true);
   }
@@ -43,7 +43,7 @@
     this.#replicator.forget(requestId);
   }
 
-  /** Whose copy the record was; undefined: the own request's. */
+  /** Owner of the record; undefined for an own request. */
   getOwner(requestId: string): string | undefined {
     return this.#owners.get(requestId);
   }
@@ -58,7 +58,7 @@
     return this.#replicator.replicate(requestId);
   }
 
-  /** Records that have left the book are forgotten here too. */
+  /** Also drops the owners of records that are no longer in the book. */
   #dropOpen(owner: string, isDropped: (requestId: string) => boolean): void {
     [...this.#owners].forEach(([requestId, from]) => {
       const kind = this.#book.getRecord(requestId)?.kind;
--- a/packages/ledger/src/types.ts
+++ b/packages/ledger/src/types.ts
@@ -12,7 +12,7 @@
 import type { TimelineRecorder } from '@snipehaven/timeline';
 import type { EngineClient } from '@snipehaven/upstream';
 
-/** What is known when a record is settled. */
+/** Outcome and usage lines with which a record is settled. */
 export interface Settlement {
   readonly outcome: UsageEntry['outcome'];
   readonly lines: readonly UsageLine[];
@@ -20,19 +20,19 @@
 
 export interface UsageLedger {
   /**
-   * Opens a record. Resolves when a peer on another VM holds a copy too, or none is alive. Throws
-   * `LedgerFullError` when the bound of unflushed records is reached: refuse the request, not run.
+   * Opens a record. Resolves when a peer on another VM holds a replica, or none is alive. Throws
+   * `LedgerFullError` at the limit of unflushed records; the request must then be refused as not run.
    */
   open(usage: OpenUsage): Promise<void>;
-  /** Notes a further run of an open record; resolves as `open` does. */
+  /** Adds a run to an open record; resolves as `open` does. */
   addStream(requestId: string, stream: UsageStream): Promise<void>;
-  /** Settles a record; resolves when the peer holds the settlement too, or none is alive. */
+  /** Settles a record; resolves when the peer holds the settlement, or none is alive. */
   settle(requestId: string, settlement: Settlement): Promise<void>;
-  /** Forgets a record whose request is proven not run. */
+  /** Removes a record whose request is proven not to have run. */
   discard(requestId: string): void;
-  /** Records not yet lasting in the platform. */
+  /** Number of records not yet durable in the platform. */
   getPendingCount(): number;
-  /** Flushes what is pending; resolves with the count left. */
+  /** Flushes settled records; resolves with the number of records still pending. */
   flush(): Promise<number>;
 }
 
@@ -59,47 +59,47 @@
   listEntries(query: BillingQuery): Promise<readonly UsageEntry[]>;
 }
 
-/** Bounds and intervals of a daemon's ledger. */
+/** Limits and intervals of a daemon's ledger. */
 export interface LedgerSettings {
-  /** Least mean time between flushes, however few daemons there are. */
+  /** Minimum mean time between flushes, however few daemons there are. */
   readonly minFlushIntervalMs: number;
-  /** Rows that all daemons together write; each one's interval follows from their count. */
+  /** Write rate limit of all daemons together; each one's interval follows from their number. */
   readonly maxTableWritesPerSecond: number;
-  /** Time between flushes after many failures in a row, unless the interval is longer. */
+  /** Maximum flush backoff after consecutive failures, unless the interval is longer. */
   readonly maxFlushRetryMs: number;
-  /** Entries in one row of the table; that many flush at once. */
+  /** Maximum entries per table row; a backlog of that size does not wait for the full interval. */
   readonly maxBatchEntries: number;
-  /** Least time between two batches while a backlog drains, so that daemons don't flood the table. */
+  /** Interval between batches while a backlog drains, so that daemons do not flood the table. */
   readonly batchGapMs: number;
-  /** Open and unflushed records together; `open` refuses beyond. */
+  /** Maximum number of open and unflushed records; `open` refuses more. */
   readonly maxPendingRecords: number;
-  /** Settled records beyond this go to the object store while the table is away. */
+  /** Settled records above this number are spilled to the object store while the table is unavailable. */
   readonly spillThresholdRecords: number;
   readonly maxSpillEntries: number;
-  /** How long changes wait for company before they go to the peer. */
+  /** Time for which changes are batched before they are sent to the peer. */
   readonly replicateBatchMs: number;
-  /** A peer that has not answered by then is passed over. */
+  /** A peer that has not answered by then is skipped. */
   readonly replicateTimeoutMs: number;
   readonly maxMessageRecords: number;
-  /** How long the word that records may be forgotten waits for a message to ride along with. */
+  /** Time for which removals wait to be sent along with another message. */
   readonly forgetDelayMs: number;
-  /** How long a peer that did not answer is passed over; doubles with each failure in a row. */
+  /** Time for which a peer that did not answer is skipped; doubles with each consecutive failure. */
   readonly peerPenaltyMs: number;
   readonly maxPeerPenaltyMs: number;
-  /** Time between looks at who is dead and which peer is best. */
+  /** Interval between checks for dead owners and a better peer. */
   readonly checkIntervalMs: number;
   /** How long an owner must be dead before its records are adopted. */
   readonly adoptAfterMs: number;
-  /** Entries written with the closing of an owner's cursor; more go through the adopter's ledger. */
+  /** Maximum entries written when closing an owner's cursor; the rest go to the adopter's ledger. */
   readonly maxClosingEntries: number;
   readonly platformTimeoutMs: number;
   readonly engineTimeoutMs: number;
-  /** How often an engine is asked for one stream before it counts as silent. */
+  /** Attempts per stream before an engine counts as not answering. */
   readonly engineAttempts: number;
   readonly engineRetryMs: number;
-  /** How long engines keep an ended stream; only before that does "unknown" prove "not started". */
+  /** Retention of ended streams at engines; "unknown" proves "not started" only within it. */
   readonly engineRetentionMs: number;
-  /** Open records of a dead owner that are asked for at the same time. */
+  /** Number of open records of a dead owner processed concurrently. */
   readonly adoptionParallelism: number;
   readonly stopTimeoutMs: number;
 }
--- a/packages/ledger/src/usageCost.ts
+++ b/packages/ledger/src/usageCost.ts
@@ -1,4 +1,4 @@
-/** What tokens cost; the owner and an adopter of a record compute it alike. */
+/** Token costs, computed identically by the owner and an adopter of a record. */
 import type { UsageLine, UsageStream } from '@snipehaven/protocol';
 
 const TOKENS_PER_PRICE = 1_000_000;
--- a/packages/ledger/src/waiters.ts
+++ b/packages/ledger/src/waiters.ts
@@ -1,4 +1,4 @@
-/** Callers that wait until a record's copy is up to date. */
+/** Callers that wait until a record is replicated. */
 type Resolve = () => void;
 
 export class Waiters {
@@ -10,7 +10,7 @@
     });
   }
 
-  /** Takes those who wait for the ids; later ones wait for the next message. */
+  /** Removes and returns the callers waiting for these ids; later callers wait for the next message. */
   take(ids: readonly string[]): ReadonlyMap<string, readonly Resolve[]> {
     const taken = new Map<string, readonly Resolve[]>();
     ids.forEach((id) => {
--- a/packages/ledger/src/withTimeout.ts
+++ b/packages/ledger/src/withTimeout.ts
@@ -1,8 +1,8 @@
-/** A bound on how long a call of the ledger may take. */
+/** Timeout for calls made by the ledger. */
 import { withTimeout as withCommonTimeout } from '@snipehaven/common';
 import { LedgerTimeoutError } from './errors.js';
 
-/** Rejects with `LedgerTimeoutError` when the call of that name has not ended in time. */
+/** Rejects with `LedgerTimeoutError`, which names the call, if it does not end in time. */
 export const withTimeout = <Result>(
   call: Promise<Result>,
   timeoutMs: number,
