--- a/packages/forwarding/src/daemon/addGauges.ts
+++ b/packages/forwarding/src/daemon/addGauges.ts
@@ -17,12 +17,12 @@
 ): void => {
   metrics.addGauge(
     'snipehaven_daemons_known',
-    'Number of known daemons, including this one.',
+    'Daemons that this one knows, itself among them.',
     () => exchange.daemons,
   );
   metrics.addGauge(
     'snipehaven_data_centres_evacuated',
-    'Number of evacuated data centres, whose upstreams receive no requests.',
+    'Data centres to whose upstreams nothing is sent.',
     () => directory.evacuated.length,
   );
   metrics.addGauge('snipehaven_in_flight', 'Requests in flight.', () => front.inFlight);
@@ -33,7 +33,7 @@
   );
   metrics.addGauge(
     'snipehaven_configuration_age_ms',
-    'Time in ms since the configuration was last confirmed.',
+    'Time since the configuration was confirmed.',
     () => configuration.freshness.ageMs,
   );
 };
--- a/packages/forwarding/src/daemon/crashCoordinator.ts
+++ b/packages/forwarding/src/daemon/crashCoordinator.ts
@@ -54,7 +54,7 @@
     this.#connect();
     metrics.addGauge(
       'snipehaven_requests_held',
-      'Requests held back because upstreams ended while running them.',
+      'Requests that are held back because upstreams ended under them.',
       () => this.book.heldCount,
     );
   }
--- a/packages/forwarding/src/edge/forwardMetrics.ts
+++ b/packages/forwarding/src/edge/forwardMetrics.ts
@@ -37,7 +37,7 @@
     });
     this.#storeCalls = new Counter({
       name: 'snipehaven_store_calls_total',
-      help: 'Calls to the platform’s store by purpose and outcome.',
+      help: 'Calls to the platform’s store by what they are for and how they ended.',
       labelNames: ['purpose', 'outcome'],
       registers,
     });
@@ -49,19 +49,19 @@
     });
     this.#upstreamEnds = new Counter({
       name: 'snipehaven_upstream_ends_total',
-      help: 'Upstreams whose process exited with requests of this daemon in flight.',
+      help: 'Upstreams whose process ended with requests of this daemon.',
       labelNames: ['service'],
       registers,
     });
     this.#sessionMoves = new Counter({
       name: 'snipehaven_sessions_moved_total',
-      help: 'Sessions that changed their software version at this daemon, by the stage of the roll-out.',
+      help: 'Sessions that ran on another version here than before, by the stage of the roll-out.',
       labelNames: ['stage'],
       registers,
     });
     this.#latency = new Gauge({
       name: 'snipehaven_forward_ms',
-      help: 'Time to the end of complete responses, in milliseconds.',
+      help: 'Time to the end of whole answers, in milliseconds.',
       labelNames: ['kind', 'quantile'],
       registers,
     });
--- a/packages/forwarding/src/peers/peerDirectory.ts
+++ b/packages/forwarding/src/peers/peerDirectory.ts
@@ -49,7 +49,7 @@
     this.#random = random;
   }
 
-  /** Number of known daemons, including this one. */
+  /** Daemons that this one knows, itself among them. */
   get daemonCount(): number {
     return this.#peers.size + 1;
   }
--- a/packages/forwarding/src/peers/peerExchange.ts
+++ b/packages/forwarding/src/peers/peerExchange.ts
@@ -139,7 +139,7 @@
     this.#options.port.close();
   }
 
-  /** Number of known daemons, including this one. */
+  /** Daemons that this one knows, itself among them. */
   get daemons(): number {
     return this.#options.directory.daemonCount;
   }
