--- a/packages/forwarding/src/peers/peerDirectory.ts
+++ b/packages/forwarding/src/peers/peerDirectory.ts
@@ -49,7 +49,7 @@
     this.#random = random;
   }
 
-  /** Daemons that this one knows, itself among them. */
+  /** Number of known daemons, including this one. */
   get daemonCount(): number {
     return this.#peers.size + 1;
   }
--- a/packages/forwarding/src/peers/peerExchange.ts
+++ b/packages/forwarding/src/peers/peerExchange.ts
@@ -139,7 +139,7 @@
     this.#options.port.close();
   }
 
-  /** Daemons that this one knows, itself among them. */
+  /** Number of known daemons, including this one. */
   get daemons(): number {
     return this.#options.directory.daemonCount;
   }
