--- a/packages/forwarding/src/rollouts/rolloutTracker.ts
+++ b/packages/forwarding/src/rollouts/rolloutTracker.ts
@@ -21,7 +21,7 @@
   RolloutAnswer,
   RolloutEvidence,
   RolloutStage,
-  RolloutProgress,
+  ObservedRollout,
   RolloutStatus,
   RolloutWork,
   SessionRunReport,
@@ -237,7 +237,7 @@
   }
 
   /** Progress of the service's roll-out as known at this daemon; undefined without one. */
-  findProgress(service: string): RolloutProgress | undefined {
+  findObservedRollout(service: string): ObservedRollout | undefined {
     const rollout = this.#rollouts.get(service);
     if (rollout === undefined) {
       return undefined;
@@ -267,12 +267,12 @@
     if (move === undefined) {
       return;
     }
-    const progress = this.findProgress(service);
+    const observed = this.findObservedRollout(service);
     this.#logger.info(
-      { event: 'sessionMoved', request, ...move, rollout: progress },
+      { event: 'sessionMoved', request, ...move, rollout: observed },
       'session changed its software version',
     );
-    this.#countSessionMove(progress?.stage ?? 'none');
+    this.#countSessionMove(observed?.stage ?? 'none');
   }
 
   /** Returns the upstreams that this request may go to. */
--- a/packages/forwarding/src/rollouts/sessionMoves.test.ts
+++ b/packages/forwarding/src/rollouts/sessionMoves.test.ts
@@ -199,8 +199,8 @@
   }
 
   #isStoreFresh(index: number): boolean {
-    const standing = this.#daemons[index]?.tracker.findProgress('s');
-    return (standing?.storeAgeMs ?? 0) < MAX_STORE_AGE_MS;
+    const observed = this.#daemons[index]?.tracker.findObservedRollout('s');
+    return (observed?.storeAgeMs ?? 0) < MAX_STORE_AGE_MS;
   }
 
   #request(index: number, session: number): void {
--- a/packages/forwarding/src/rollouts/types.ts
+++ b/packages/forwarding/src/rollouts/types.ts
@@ -23,7 +23,7 @@
 export type RolloutStage = SchedulePhase | Exclude<RolloutState, 'running'> | 'none';
 
 /** Progress of a roll-out as one daemon sees it, and the data that it is based on. */
-export interface RolloutProgress {
+export interface ObservedRollout {
   readonly orderVersion: number;
   readonly toVersion: string;
   readonly stage: RolloutStage;
--- a/packages/forwarding/src/runs/describePlacement.ts
+++ b/packages/forwarding/src/runs/describePlacement.ts
@@ -21,7 +21,7 @@
     session: options.session,
     sessionRanOn: lastRun?.softwareVersion,
     sessionRanAgoMs: lastRun && Math.round(performance.now() - lastRun.atMs),
-    rollout: rollouts.findProgress(service),
+    rollout: rollouts.findObservedRollout(service),
     model,
     promptTokens: options.promptTokens,
     maxOutputTokens: options.maxOutputTokens,
